--- a/libs/dispatch/benchmarks/bench_dispatch.cpp
+++ b/libs/dispatch/benchmarks/bench_dispatch.cpp
@@ -1,10 +1,10 @@
-// Processor time of what each instance does more often the larger the fleet is: taking the reports
-// of all others, and choosing among all servers.
+// CPU time of the work of an instance that grows with the size of the fleet: processing the reports
+// of all other instances and choosing among all servers.
 
 #include <chrono>
 #include <cstdio>
 
-#include <dispatch/load_board.h>
+#include <dispatch/load_balancer.h>
 #include <dispatch/peer_report.h>
 
 namespace trefoil {
@@ -13,14 +13,14 @@
 
 constexpr int servers = 140;
 constexpr int instances = 81;
-/// Requests that an instance has open at once, each on another server.
+/// Concurrently open requests of an instance, each on a different server.
 constexpr int openRequests = 12;
 constexpr int placementsInReport = 5;
 constexpr int repeats = 2000;
 
 std::string serverName(int i) { return "i-" + std::to_string(10000000 + i * 7919); }
 
-peer_report reportOf(int instance)
+peer_report makeReport(int instance)
 {
     peer_report report {.from = "edge-" + std::to_string(instance),
                         .incarnation = 1796367851123,
@@ -57,7 +57,7 @@
 
 void run()
 {
-    load_board board({.zone = "z1"});
+    load_balancer balancer({.zone = "z1"});
     std::vector<registered_server> listed;
     for (int i = 0; i < servers; ++i)
         listed.push_back({.id = serverName(i),
@@ -67,34 +67,35 @@
                           .release = "1",
                           .slots = 16,
                           .weights = {{"model", 4}}});
-    board.setServers(listed);
+    balancer.setServers(listed);
     serving_tables tables;
     tables.services["llm"] = {
         .name = "llm",
         .engine = engine_traits {
             .slots = 16, .memoryTokens = 115848, .bytesPerToken = 35136, .linkMbps = 550000}};
-    board.setTables(tables);
+    balancer.setTables(tables);
     const timestamp now = boot_clock::now();
     std::vector<std::string> texts;
     for (int i = 0; i < instances; ++i) {
-        const peer_report report = reportOf(i);
+        const peer_report report = makeReport(i);
         texts.push_back(toText(report));
-        board.takePeerLoad(now, report.from, report.load);
-        board.notePlacedParts(now, report.placed);
+        balancer.setPeerLoad(now, report.from, report.load);
+        balancer.addCachePlacements(now, report.placed);
     }
     std::printf("%-24s %8zu bytes\n", "report", texts[0].size());
-    measure("read report", [&](int i) { peerReportFromText(texts[i % instances]); });
-    const peer_report report = reportOf(5);
+    measure("read report", [&](int i) { parsePeerReport(texts[i % instances]); });
+    const peer_report report = makeReport(5);
     measure("write report", [&](int) { toText(report); });
     measure("take load and parts", [&](int i) {
-        board.takePeerLoad(now, report.from, report.load);
-        board.notePlacedParts(now, report.placed);
+        balancer.setPeerLoad(now, report.from, report.load);
+        balancer.addCachePlacements(now, report.placed);
         static_cast<void>(i);
     });
     const std::vector<prompt_part> prompt {{.id = "5c1e07a2", .tokens = 6300},
                                            {.id = "e4402b7d", .tokens = 2890}};
-    const work_item work {.service = "llm", .model = "model", .prompt = prompt, .outputTokens = 7};
-    measure("choose a server", [&](int) { board.choose(now, work); });
+    const request_profile request {
+        .service = "llm", .model = "model", .prompt = prompt, .outputTokens = 7};
+    measure("choose a server", [&](int) { balancer.choose(now, request); });
 }
 
 } // namespace
--- /dev/null
+++ b/libs/dispatch/include/dispatch/load_balancer.h
@@ -0,0 +1,380 @@
+#pragma once
+
+#include <cstdint>
+#include <map>
+#include <optional>
+#include <random>
+#include <span>
+#include <string>
+#include <string_view>
+#include <unordered_map>
+#include <vector>
+
+#include <core/clock.h>
+#include <dispatch/serving_tables.h>
+
+namespace trefoil {
+
+/// One segment of a prompt. Requests whose prompts share a segment share its KV cache.
+struct prompt_part
+{
+    std::string id;
+    double tokens = 0;
+};
+
+/// Properties of a request that the choice of a server depends on.
+struct request_profile
+{
+    std::string_view service;
+    /// Empty for a service without a model.
+    std::string_view model;
+    /// Team whose KV cache must not be shared with other teams, or empty.
+    std::string_view isolatedTeam;
+    /// Parts in prompt order. The last one is unique to the request and never cached for others.
+    std::span<const prompt_part> prompt;
+    double outputTokens = 0;
+    /// Backend servers that this request was sent to before.
+    std::span<const std::string> tried;
+    /// Software releases whose servers must not serve the request.
+    std::span<const std::string> excludedReleases;
+};
+
+/// Server chosen for a request, with the expected cost.
+struct server_placement
+{
+    std::string server;
+    endpoint address;
+    std::string zone;
+    std::string release;
+    /// Weights that the server is believed to run; 0 for a service without a model.
+    std::uint64_t weights = 0;
+    /// Namespace of the KV cache on the engine. It contains the model, the weights version and the
+    /// team if that is isolated, so a request never reuses KV cache of other weights or of an
+    /// isolated team. Empty for a service without a model.
+    std::string cacheName;
+    /// Engine or KV-cache store to copy missing parts from.
+    std::optional<endpoint> cacheSource;
+    /// KV-cache store that the engine writes the shared parts to.
+    std::optional<endpoint> cacheSink;
+    /// Time in milliseconds that the request's copies occupy the link of transferStore.
+    double storeTransferMs = 0;
+    /// Address of the KV-cache store that the request copies from or to, or empty.
+    std::string transferStore;
+    /// Prompt tokens that the engine must compute.
+    double missingTokens = 0;
+    /// KV-cache memory that the request takes on the engine, in tokens.
+    double memoryTokens = 0;
+    /// Expected time to the first event in milliseconds.
+    double expectedMs = 0;
+};
+
+/// Outcome of an attempt to run a request on a backend server.
+enum class attempt_outcome {
+    Done,
+    /// The server ran the request and answered with a failure.
+    Failed,
+    /// The server refused the request without running it.
+    Rejected,
+    /// The connection was reset, timed out or carried a malformed response.
+    Lost,
+    /// The connection could not be established; nothing was sent.
+    Unreachable,
+    /// The caller disconnected or its deadline passed. Not counted for or against the server.
+    Abandoned
+};
+
+/// Load that the requests of one instance put on a server.
+struct server_load
+{
+    int running = 0;
+    /// Prompt tokens to compute for requests that have had no first event yet.
+    double pendingTokens = 0;
+    /// KV-cache memory that the requests take on the engine, in tokens.
+    double memoryTokens = 0;
+};
+
+/// Prompt parts that a request has put into the KV cache of a server and possibly of a store.
+/// Reported to the other instances so that they can place requests where parts are cached.
+struct cache_placement
+{
+    std::string server;
+    std::vector<std::uint64_t> parts;
+    /// Address of the KV-cache store that parts are copied from or to, or empty.
+    std::string store;
+    /// Whether the parts are written to that store.
+    bool isStored = false;
+    /// Time in milliseconds that the copies occupy the store's link.
+    double storeTransferMs = 0;
+};
+
+/// Options of a load balancer. Costs are in milliseconds of expected latency.
+struct load_balancer_options
+{
+    /// Availability zone of this instance.
+    std::string zone;
+    std::uint64_t randomSeed = 1;
+    /// Prefill throughput of an engine in prompt tokens per millisecond.
+    double prefillTokensPerMs = 90;
+    /// Time to the first event of an idle engine in milliseconds, without prefill.
+    double baseFirstEventMs = 40;
+    /// Assumed duration in milliseconds of a call to a service without a model, until a call has
+    /// been measured.
+    double defaultCallMs = 20;
+    /// Cost of a model server in another zone: the price of cross-zone traffic for the prompt.
+    double crossZoneCostMs = 30;
+    /// Cost of a server in another zone for a service without a model, whose requests are small.
+    double crossZoneCallCostMs = 4;
+    /// Cost of a server other than the home server of the prompt's last shared part.
+    double nonHomeCostMs = 40;
+    /// Cost of weights older than the newest announced ones; see staleWeightsDelay.
+    double staleWeightsCostMs = 100;
+    /// Time after newer weights were announced from which stale weights cost staleWeightsCostMs.
+    duration staleWeightsDelay = std::chrono::milliseconds(1500);
+    /// Time after newer weights were announced from which no request is placed on older ones: the
+    /// maximum age of stale answers less the time that a request may wait at its server.
+    duration staleWeightsLimit = std::chrono::milliseconds(10500);
+    /// Fraction of an engine's memory that requests may take before further ones queue.
+    double memoryShare = 0.9;
+    /// Cost of a suspect server.
+    double suspectCostMs = 400;
+    /// Load reported by other instances expires after this time.
+    duration reportLifetime = std::chrono::milliseconds(1500);
+};
+
+/// Tracks the estimated load, weights, KV cache and health of all backend servers and chooses the
+/// server with the least expected cost in milliseconds. Time is passed in as an argument. Not
+/// thread-safe.
+///
+/// Handles these cases: several instances that see the same idle server (each adds the load that
+/// the others report); a prompt part in heavy use (once requests queue at its home server, copying
+/// the part to another engine is cheaper); engines that load weights; servers that fail or stop
+/// responding.
+class load_balancer
+{
+public:
+    explicit load_balancer(const load_balancer_options &options);
+
+    /// Replaces the list of servers. The state of servers that stay listed is kept unless they have
+    /// restarted.
+    void setServers(std::span<const registered_server> servers);
+    /// Sets the engine traits of the services and the KV-cache stores.
+    void setTables(const serving_tables &tables);
+    /// Records that @p version of @p model was announced at @p since or earlier.
+    void addAnnouncedWeights(std::string_view model, std::uint64_t version, timestamp since);
+    /// Records that @p server itself stated that it runs @p version of @p model. Ignored if a newer
+    /// version is known.
+    void onWeightsObserved(timestamp now, std::string_view server, std::string_view model,
+                           std::uint64_t version);
+    /// Records the weights of @p server as another instance reported them. They are not included in
+    /// serversWithNewWeights(), so this instance does not report them again.
+    void onWeightsReported(std::string_view server, std::string_view model, std::uint64_t version);
+    /// Records that @p server refused a request because it doesn't run version @p tried: it has
+    /// loaded weights that this instance has not heard of. The next announced version is assumed
+    /// until the server confirms one.
+    void onWeightsMismatch(timestamp now, std::string_view server, std::string_view model,
+                           std::uint64_t tried);
+    /// Marks @p server as gone because another server answers at its address.
+    void markGone(std::string_view server);
+    /// Returns the servers that are marked as gone and still listed.
+    std::vector<std::string> goneServers() const;
+    /// Marks @p server as loading weights until newer weights are seen on it, at most until
+    /// @p until.
+    void markLoading(std::string_view server, timestamp until);
+
+    /// Sets the start epoch of the KV-cache store at @p address, 0 while the store doesn't answer.
+    /// A changed epoch means that the store has restarted empty.
+    void setStoreEpoch(std::string_view address, std::uint64_t epoch);
+
+    /// Returns the server of least cost, or nothing if no server may take the request.
+    std::optional<server_placement> choose(timestamp now, const request_profile &request);
+    /// Adds the load of a request sent to @p placed. Returns a ticket to pass to the calls below.
+    std::uint64_t begin(timestamp now, const server_placement &placed,
+                        const request_profile &request);
+    /// Records the first event of the ticket's response.
+    void onFirstEvent(timestamp now, std::uint64_t ticket);
+    /// Records that the ticket's server has sent nothing for too long.
+    void onServerSilent(timestamp now, std::uint64_t ticket);
+    /// Removes the ticket's load and updates the server's health from @p outcome.
+    void end(timestamp now, std::uint64_t ticket, attempt_outcome outcome);
+    /// Takes the numbers of running and waiting requests that @p server reports in a response.
+    void onLoadReported(timestamp now, std::string_view server, int running, int waiting);
+
+    /// Returns the servers to probe with a connection now: those that stopped responding, lost
+    /// requests, refused a connection or were named by requestProbe(). Servers that can't be
+    /// reached get no requests until a probe succeeds. A server is not returned again until
+    /// onProbeResult() was called for it.
+    std::vector<registered_server> serversToProbe(timestamp now);
+    /// Takes the result of a probe.
+    void onProbeResult(std::string_view server, bool isReachable);
+    /// Requests a probe of @p server because another instance can't reach it.
+    void requestProbe(timestamp now, std::string_view server);
+    /// Returns the servers that this instance can't reach.
+    std::vector<std::string> unreachableServers() const;
+
+    /// Returns the load that this instance has put on each server.
+    std::map<std::string, server_load, std::less<>> ownLoad() const;
+    /// Replaces the load that @p peer has put on each server.
+    void setPeerLoad(timestamp now, std::string_view peer,
+                     const std::map<std::string, server_load, std::less<>> &load);
+    /// Returns the placements of this instance since the last call and clears them.
+    std::vector<cache_placement> takeCachePlacements();
+    /// Records placements made by another instance.
+    void addCachePlacements(timestamp now, std::span<const cache_placement> placements);
+
+    /// Returns the addresses of the KV-cache stores.
+    std::vector<endpoint> cacheStores() const;
+    /// Returns the listed servers with the weights that they are known to run.
+    std::vector<registered_server> servers() const;
+    /// Returns the servers on which newer weights were observed after @p since, with all weights
+    /// that they run.
+    std::vector<registered_server> serversWithNewWeights(timestamp since) const;
+    /// Returns the time at which each weights version was announced, by model and version.
+    const std::map<std::string, std::map<std::uint64_t, timestamp>, std::less<>> &
+    announcedWeights() const
+    {
+        return m_announced;
+    }
+    /// Returns the newest announced weights version by model.
+    std::map<std::string, std::uint64_t, std::less<>> newestWeights() const;
+    /// Returns the distinct releases that the servers of @p service run.
+    std::vector<std::string> releasesOf(std::string_view service) const;
+    /// Returns the load that all instances together put on @p server.
+    server_load totalLoad(timestamp now, std::string_view server) const;
+    /// Returns whether @p server is suspect: it failed or stopped responding recently.
+    bool isSuspect(timestamp now, std::string_view server) const;
+
+private:
+    struct peer_load
+    {
+        server_load load;
+        timestamp at;
+    };
+    struct server_state
+    {
+        registered_server info;
+        server_load own;
+        std::map<std::string, peer_load, std::less<>> peers;
+        timestamp loadingUntil;
+        timestamp suspectUntil;
+        /// Moving average of the share of requests that the server failed or lost.
+        double failureShare = 0;
+        int consecutiveLosses = 0;
+        int suspicionCount = 0;
+        /// Whether another server answers at the address.
+        bool isGone = false;
+        /// Whether the server gets no requests until a probe succeeds.
+        bool isUnreachable = false;
+        bool needsProbe = false;
+        /// Whether a probe is in progress.
+        bool isProbing = false;
+        timestamp probedAt;
+        /// Weights version assumed after a refusal; 0 to use the known one.
+        std::uint64_t guessedWeights = 0;
+        timestamp weightsObservedAt;
+        /// Ratio of the measured to the expected time to the first event.
+        double slowness = 1;
+        /// Average duration of a call in milliseconds, 0 until one has been measured.
+        double callMs = 0;
+        /// Last use by part; see cachedPartKey().
+        std::unordered_map<std::uint64_t, timestamp> parts;
+    };
+    struct store_state
+    {
+        cache_store info;
+        /// The address as text.
+        std::string name;
+        bool isReachable = true;
+        std::uint64_t epoch = 0;
+        /// Last use by part.
+        std::unordered_map<std::uint64_t, timestamp> parts;
+        /// Time until which known copies occupy the store's link.
+        timestamp busyUntil;
+    };
+    /// A server that is assumed to have a part in its KV cache.
+    struct part_holder
+    {
+        const server_state *state = nullptr;
+        timestamp lastUse;
+    };
+    /// Source to copy a part from: a store, an engine or neither.
+    struct part_source
+    {
+        const store_state *store = nullptr;
+        const server_state *engine = nullptr;
+    };
+    /// Cache locality of a prompt, computed once for each choice.
+    struct prompt_affinity
+    {
+        /// Id of the prompt's home server, or empty.
+        std::string home;
+        /// Reachable store assigned to the prompt's parts, or nullptr.
+        const store_state *store = nullptr;
+        /// Time in milliseconds until earlier copies leave the store's link free.
+        double storeWaitMs = 0;
+    };
+
+    struct ticket_state
+    {
+        std::string server;
+        double pendingTokens = 0;
+        double memoryTokens = 0;
+        double expectedMs = 0;
+        timestamp startedAt;
+        bool hasStarted = false;
+        bool isModel = false;
+        bool wasSilent = false;
+    };
+
+    static std::uint64_t weightsOf(const server_state &state, std::string_view model);
+    static bool mayTake(timestamp now, const server_state &state, const request_profile &request);
+    std::optional<server_placement> chooseAmong(timestamp now, const request_profile &request,
+                                                bool isLastResort);
+    double staleWeightsCost(timestamp now, const server_state &state,
+                            const request_profile &request) const;
+    server_placement estimate(timestamp now, const server_state &state,
+                              const request_profile &request, const engine_traits *engine,
+                              const prompt_affinity &affinity) const;
+    double costOf(timestamp now, const server_state &state, const request_profile &request,
+                  const server_placement &placed, std::string_view home) const;
+    void estimateEngine(timestamp now, const server_state &state, const request_profile &request,
+                        const engine_traits &engine, const prompt_affinity &affinity,
+                        server_placement &placed) const;
+    const std::vector<part_holder> &holdersOf(timestamp now, std::uint64_t part) const;
+    part_source findSource(timestamp now, const server_state &target, std::uint64_t part,
+                           const prompt_affinity &affinity) const;
+    prompt_affinity affinityOf(timestamp now, const request_profile &request) const;
+    const store_state *assignedStore(std::uint64_t prefixHash) const;
+    std::string homeServerOf(const request_profile &request, std::uint64_t prefixHash,
+                             const store_state *store) const;
+    double copyMs(const part_source &source, const server_state &target, double tokens,
+                  const engine_traits &engine) const;
+    server_state *findServer(std::string_view id);
+    const server_state *findServer(std::string_view id) const;
+    /// Returns the ids of the servers with @p flag set.
+    std::vector<std::string> serversWithFlag(bool server_state::*flag) const;
+    server_load totalLoad(timestamp now, const server_state &state) const;
+    store_state *findStore(std::string_view address);
+    void markSuspect(timestamp now, server_state &state);
+    void touchParts(timestamp now, server_state &state, std::span<const std::uint64_t> parts);
+    double poolFailureShare(std::string_view service) const;
+
+    load_balancer_options m_options;
+    std::mt19937_64 m_random;
+    std::map<std::string, server_state, std::less<>> m_servers;
+    std::map<std::string, engine_traits, std::less<>> m_engines;
+    std::vector<store_state> m_stores;
+    std::map<std::string, std::map<std::uint64_t, timestamp>, std::less<>> m_announced;
+    /// Holders by part, cached during one choice: the estimates of all servers need the same few
+    /// parts.
+    mutable std::unordered_map<std::uint64_t, std::vector<part_holder>> m_holders;
+    std::map<std::uint64_t, ticket_state> m_tickets;
+    std::uint64_t m_nextTicket = 1;
+    std::vector<cache_placement> m_placed;
+};
+
+/// Returns the namespace under which engines share KV cache of @p model at version @p weights. It
+/// includes @p isolatedTeam if that is not empty. Thread-safe.
+std::string cacheNameOf(std::string_view model, std::uint64_t weights,
+                        std::string_view isolatedTeam);
+
+} // namespace trefoil
--- a/libs/dispatch/include/dispatch/member_table.h
+++ b/libs/dispatch/include/dispatch/member_table.h
@@ -8,33 +8,36 @@
 
 #include <configuration/settings.h>
 #include <core/clock.h>
-#include <dispatch/report_silence.h>
+#include <dispatch/report_timeout.h>
 
 namespace trefoil {
 
-/// An instance as it lists itself for the others.
+/// Description of an instance that it publishes for the others.
 struct member_entry
 {
     std::string name;
     std::string zone;
+    /// Address for callers.
     endpoint callers;
+    /// Address for reports and calls of other instances.
     endpoint peers;
-    /// Start of its process in milliseconds since 1970.
+    /// Start time of the process in milliseconds since 1970.
     std::uint64_t incarnation = 0;
-    /// How much it can carry against others, in cores; 0 where that isn't known.
+    /// Capacity in cores, see capacityOf(); 0 if unknown.
     double capacity = 0;
 };
 
-/// Returns the capacity of an instance with @p cores of a processor and a link of @p linkMbps, by
-/// the scarcer of the two. Thread-safe.
+/// Returns the capacity, in cores, of an instance with @p cores processor cores and a link of
+/// @p linkMbps megabits per second, limited by the scarcer of the two. A link of 0 is ignored.
+/// Thread-safe.
 double capacityOf(double cores, double linkMbps);
 
-/// Where a report goes.
+/// Destination of a report.
 struct report_target
 {
     endpoint to;
-    /// Whether the receiver passes the report on to the instances of its zone.
-    bool isPassedOn = false;
+    /// Whether the receiver forwards the report to the other instances of its zone.
+    bool isForwarded = false;
 
     bool operator==(const report_target &) const = default;
 };
@@ -42,85 +45,91 @@
 /// Options of a member table.
 struct member_table_options
 {
+    /// Name of this instance.
     std::string self;
+    /// Availability zone of this instance.
     std::string zone;
-    /// A member not heard for longer is taken for dead.
-    report_silence silence;
-    /// A holder of a duty not heard for longer may be succeeded: three reports, and the growth of
-    /// the above. Short, because the successor asks the store whether it is right.
-    duration holderSilence = std::chrono::milliseconds(650);
-    /// Callers spread over all zones where their own has fewer live instances.
-    std::size_t leastInZone = 2;
-    /// Callers are sent to instances with at least this share of the largest one's capacity.
-    double largeShare = 0.5;
-    /// Mean delay of their threads from which these count as overloaded, and all instances are
-    /// named: a tenth of the usual aim for a first event.
-    duration mostDelay = std::chrono::milliseconds(40);
-    /// How long all are named after that.
+    /// A member that is not heard for longer is considered dead.
+    report_timeout reportTimeout;
+    /// A duty holder that is not heard for this time plus report_timeout::growth() may be
+    /// succeeded: about three report periods. Short, because the successor checks with the store
+    /// first.
+    duration holderTimeout = std::chrono::milliseconds(650);
+    /// Callers are sent to all zones if their own zone has fewer live instances than this.
+    std::size_t minInZone = 2;
+    /// Callers are sent to instances with at least this share of the largest instance's capacity.
+    double minCapacityShare = 0.5;
+    /// Mean scheduling delay above which the large instances count as overloaded and callers are
+    /// sent to all instances: a tenth of the usual target latency of a first event.
+    duration maxDelay = std::chrono::milliseconds(40);
+    /// Time for which callers are sent to all instances after an overload.
     duration spreadTime = std::chrono::seconds(10);
-    /// Instances named in an answer.
-    std::size_t mostNamed = 64;
-    /// A fleet of more others than this is large: a report goes to one instance of each other zone,
-    /// which passes it on there, and instances without callers report less often. A full mesh of 81
-    /// instances carried 0.5 GB a minute between zones.
-    std::size_t mostDirect = 24;
+    /// Maximum number of instances returned to a caller.
+    std::size_t maxEntryInstances = 64;
+    /// A fleet with more other instances than this is large: a report goes to one instance of each
+    /// other zone, which forwards it there, and instances without callers report less often. A full
+    /// mesh of 81 instances sent 0.5 GB per minute between zones.
+    std::size_t maxDirectPeers = 24;
 };
 
-/// Instances that list themselves in the store, and which of them are alive by their reports. Not
+/// Instances that list themselves in the store, with their liveness as judged by their reports. Not
 /// thread-safe.
 ///
-/// Answers for callers: fleets where a few instances are far larger than the others. A small one
-/// with a link of ten megabits adds tens of milliseconds to a long prompt, and the fewer instances
-/// place requests, the better each knows the load. They spread over all when the large ones are
-/// overloaded.
+/// Handles fleets in which a few instances are far larger than the others: callers are sent to the
+/// large ones. A small instance with a link of 10 Mbit/s adds tens of milliseconds to a long
+/// prompt, and the fewer instances place requests, the more accurate is each one's view of the
+/// load. When the large instances are overloaded, callers are sent to all.
 class member_table
 {
 public:
     explicit member_table(const member_table_options &options) : m_options(options) { }
 
-    /// Replaces the listed instances, this one included. A new one counts as alive until its first
-    /// report is overdue.
+    /// Replaces the listed instances, including this one. A new instance counts as alive until its
+    /// first report is overdue.
     void setListed(timestamp now, const std::vector<member_entry> &entries);
-    /// Notes a report of @p name, which announces the next one after @p period. Returns false for
-    /// one that is older than what is known.
+    /// Records a report of @p name, which announces its next report after @p period. Returns false
+    /// if @p name isn't listed or the report is not newer than the last one.
     bool noteReport(timestamp now, std::string_view name, std::uint64_t incarnation,
                     std::uint64_t sequence, bool isLeaving, std::uint64_t dutyEpoch,
                     duration period = {});
-    /// Notes for how long threads of @p name, this instance or another, wait for its processor.
+    /// Records the scheduling delay of @p name, which may be this instance: the time that its
+    /// threads wait for a processor.
     void noteDelay(std::string_view name, duration delay);
 
-    /// Returns whether @p name, another instance, is alive and not leaving.
+    /// Returns whether the other instance @p name is alive and not leaving.
     bool isAlive(timestamp now, std::string_view name) const;
-    /// Returns where @p name takes reports and calls of others, or an empty endpoint for one that
-    /// isn't listed.
-    endpoint peersOf(std::string_view name) const;
-    /// Returns the number of other instances that are listed.
-    std::size_t otherCount() const { return m_members.size() - (listsSelf() ? 1 : 0); }
+    /// Returns the address for reports and calls of other instances to @p name, or an empty
+    /// endpoint if @p name isn't listed.
+    endpoint peerAddress(std::string_view name) const;
+    /// Returns the number of listed instances other than this one.
+    std::size_t otherCount() const { return m_members.size() - (isSelfListed() ? 1 : 0); }
     /// Returns whether the fleet is large; see member_table_options.
-    bool isLarge() const { return otherCount() > m_options.mostDirect; }
-    /// Returns the other instances that are listed.
+    bool isLarge() const { return otherCount() > m_options.maxDirectPeers; }
+    /// Returns the listed instances other than this one.
     std::vector<member_entry> others() const;
-    /// Returns where the report with @p sequence goes. Another zone's receiver changes with each
-    /// report, so that a lost instance or link costs few of them.
+    /// Returns the destinations of the report with @p sequence. The receiver in another zone
+    /// changes with each report, so that the loss of an instance or link affects few reports.
     std::vector<report_target> reportTargets(timestamp now, std::uint64_t sequence) const;
-    /// Returns whom a report of @p from that is to be passed on goes to: the zone's others.
-    std::vector<endpoint> passOnTargets(std::string_view from) const;
+    /// Returns the destinations of a report of @p from that this instance forwards: the other
+    /// instances of its zone.
+    std::vector<endpoint> forwardTargets(std::string_view from) const;
     /// Returns the number of other instances that are alive.
-    std::size_t liveOthers(timestamp now) const;
-    /// Returns how many live instances stand before this one in the order of names.
+    std::size_t liveOtherCount(timestamp now) const;
+    /// Returns the number of live instances whose names sort before that of this instance.
     int rank(timestamp now) const;
-    /// Returns whether this instance is listed, without which its rank isn't known.
-    bool listsSelf() const;
-    /// Returns whether a live instance says that it holds a duty.
-    bool hearsHolder(timestamp now) const;
-    /// Returns whether @p name is alive and holds a duty with @p epoch.
+    /// Returns whether this instance is listed; rank() is meaningful only then.
+    bool isSelfListed() const;
+    /// Returns whether any instance reported recently that it holds a duty.
+    bool isHolderHeard(timestamp now) const;
+    /// Returns whether @p name reported recently that it holds a duty with @p epoch.
     bool holdsDuty(timestamp now, std::string_view name, std::uint64_t epoch) const;
 
-    /// Returns whether the last report of @p name said that it holds a duty with @p epoch.
-    bool heardDuty(std::string_view name, std::uint64_t epoch) const;
+    /// Returns whether the last report of @p name, however old, said that it holds a duty with
+    /// @p epoch.
+    bool reportedDuty(std::string_view name, std::uint64_t epoch) const;
 
-    /// Returns the instances that a caller in @p zone is to use. @p isSelfUsable tells whether this
-    /// one takes callers.
+    /// Returns the addresses of the instances that a caller in @p zone is to use. @p isSelfUsable
+    /// tells whether this instance accepts callers.
     std::vector<endpoint> entry(timestamp now, std::string_view zone, bool isSelfUsable);
 
 private:
@@ -133,16 +142,16 @@
         bool isLeaving = false;
         std::uint64_t dutyEpoch = 0;
         duration delay {};
-        /// Time until its next report, as it said.
+        /// Announced time until the next report.
         duration period {};
     };
 
-    std::vector<const member_state *> largeOnes(timestamp now,
-                                                std::vector<const member_state *> usable);
+    std::vector<const member_state *> preferLarge(timestamp now,
+                                                  std::vector<const member_state *> usable);
 
     member_table_options m_options;
     std::map<std::string, member_state, std::less<>> m_members;
-    /// All instances are named until then.
+    /// Time until which callers are sent to all instances.
     timestamp m_spreadUntil;
 };
 
--- a/libs/dispatch/include/dispatch/peer_report.h
+++ b/libs/dispatch/include/dispatch/peer_report.h
@@ -8,20 +8,21 @@
 #include <vector>
 
 #include <core/digest.h>
-#include <dispatch/load_board.h>
+#include <dispatch/load_balancer.h>
 #include <dispatch/team_limits.h>
 #include <rollout/evidence.h>
 
 namespace trefoil {
 
-/// A crash of a server and a request that ran on it then.
-struct crash_note
+/// A server crash and a request that was running on the server.
+struct crash_record
 {
     digest128 request;
+    /// Identifies the crash.
     std::string event;
 };
 
-/// Outcomes of one release on one route, as one instance has counted them since it started.
+/// Request outcomes of one release on one route, counted by one instance since its start.
 struct release_outcomes
 {
     std::string service;
@@ -30,18 +31,18 @@
     outcome_counts counts;
 };
 
-/// What an instance tells the others every few hundred milliseconds. Each report stands by itself,
-/// so that lost ones do no harm.
+/// State that an instance sends to the others every few hundred milliseconds. Each report is
+/// complete, so a lost one is made up for by the next.
 struct peer_report
 {
     std::string from;
-    /// Start of the process in milliseconds since 1970.
+    /// Start time of the process in milliseconds since 1970.
     std::uint64_t incarnation = 0;
     std::uint64_t sequence = 0;
     bool isLeaving = false;
-    /// Milliseconds until the next report.
+    /// Time until the next report in milliseconds.
     double periodMs = 0;
-    /// How long the instance's threads wait for its processor, in milliseconds.
+    /// Scheduling delay in milliseconds: time that the instance's threads wait for a processor.
     double delayMs = 0;
     /// Newest store revision that the instance has seen, by kind of object.
     std::map<std::string, std::uint64_t, std::less<>> revisions;
@@ -49,29 +50,31 @@
     admitted_totals admitted;
     admitted_totals levels;
     admitted_totals askedRates;
-    std::vector<placed_parts> placed;
-    std::vector<crash_note> crashes;
-    /// Servers that load weights by this instance's order.
+    std::vector<cache_placement> placed;
+    std::vector<crash_record> crashes;
+    /// Servers that load weights on the order of this instance.
     std::vector<std::string> loading;
-    /// Servers at whose addresses others answer.
+    /// Servers at whose addresses other servers answer.
     std::vector<std::string> gone;
-    /// Servers that can't be reached from there.
+    /// Servers that this instance can't reach.
     std::vector<std::string> unreachable;
-    /// Newest weights seen in answers, by server; model names are joined in front of "=".
+    /// Newest weights versions observed in answers, by "server=model".
     std::map<std::string, std::uint64_t, std::less<>> weights;
-    /// Milliseconds since weights were named, by "model=version": a restarted instance can't know.
+    /// Milliseconds since weights were announced, by "model=version", for instances that have
+    /// restarted since.
     std::map<std::string, std::uint64_t, std::less<>> namedAgeMs;
-    /// Milliseconds since the instance heard the platform's store; nothing before the first time.
+    /// Milliseconds since the platform's store last answered the instance; empty before the first
+    /// answer.
     std::optional<std::uint64_t> storeHeardAgoMs;
     /// Epoch of the duty that the instance holds, 0 for none.
     std::uint64_t dutyEpoch = 0;
     std::vector<release_outcomes> releases;
-    /// Epochs of the stores of KV cache by address as the holder of the duty sees them, 0 while one
-    /// doesn't answer. Nothing from instances that don't ask them.
+    /// Start epochs of the KV-cache stores by address, 0 for a store that doesn't answer. Filled by
+    /// the duty holder, which polls the stores; empty in reports of other instances.
     std::map<std::string, std::uint64_t, std::less<>> storeEpochs;
 };
 
-/// Weights as reports and records name them.
+/// Identifies a weights version of a model in reports and records.
 struct weights_name
 {
     std::string model;
@@ -80,13 +83,13 @@
 
 /// Returns "model=version". Thread-safe.
 std::string weightsKey(std::string_view model, std::uint64_t version);
-/// Parses what weightsKey() wrote; nothing on any other text. Thread-safe.
+/// Parses the output of weightsKey(). Returns nothing if @p text is malformed. Thread-safe.
 std::optional<weights_name> parseWeightsKey(std::string_view text);
 
-/// Returns the datagram. Thread-safe.
+/// Serializes @p report as the text of a datagram. Thread-safe.
 std::string toText(const peer_report &report);
 
-/// Reads what toText() wrote; nothing where it is malformed. Thread-safe.
-std::optional<peer_report> peerReportFromText(std::string_view text);
+/// Parses the output of toText(). Returns nothing if @p text is malformed. Thread-safe.
+std::optional<peer_report> parsePeerReport(std::string_view text);
 
 } // namespace trefoil
--- a/libs/dispatch/include/dispatch/release_shares.h
+++ b/libs/dispatch/include/dispatch/release_shares.h
@@ -12,58 +12,60 @@
 
 namespace trefoil {
 
-/// A move of a service's traffic to another release that the operator asks for.
+/// An operator's request to move a service's traffic to another release.
 struct rollout_request
 {
     std::string service;
     std::string release;
     /// Time from the request to its deadline.
     duration time {};
-    /// Stage that was reported before, where there is one.
+    /// Stage that was reported for this request before, if any.
     std::optional<rollout_stage> reported;
 };
 
-/// Options of the shares.
+/// Options of release_shares.
 struct release_share_options
 {
-    /// Share of the new release until shortly before its deadline: half of what a bad release may
-    /// get of all requests, since a fault may show late.
-    double trialShare = 0.05;
-    /// Part of the time after which all traffic moves, and after which the move counts as done.
+    /// Share of requests that the new release gets until all traffic moves: half of what a bad
+    /// release may get in total, since a fault may show late.
+    double canaryShare = 0.05;
+    /// Fractions of rollout_request::time after which all traffic moves and after which the move
+    /// counts as done.
     double moveAt = 0.86;
     double doneAt = 0.95;
-    /// Requests on the new release without which it isn't trusted with all traffic.
-    std::uint64_t leastRequests = 20;
+    /// Minimum number of requests served by the new release before it gets all traffic.
+    std::uint64_t minRequests = 20;
 };
 
-/// Which release of a service a request goes to while traffic moves. Each instance steps by its own
-/// clock from when it saw the request; evidence against the release stops it on any instance that
-/// has it. Not thread-safe.
+/// Splits a service's requests between the old and the new release while traffic moves. Each
+/// instance advances the stages by its own clock, from when it first saw the rollout request, and
+/// takes the release back when it has enough evidence of failures. Not thread-safe.
 class release_shares
 {
 public:
     explicit release_shares(const release_share_options &options) : m_options(options) { }
 
-    /// Takes the operator's request for a service, or that there is none.
+    /// Sets the operator's request for a service, or removes it.
     void setRequest(timestamp now, std::string_view service,
                     const std::optional<rollout_request> &request);
-    /// Notes the outcome of a request; @p bits of the request decide its share.
+    /// Counts the outcome of a request that this instance served.
     void note(std::string_view service, std::string_view release, std::string_view route,
               bool failed, bool slow);
-    /// Adds outcomes that another instance counted since its last report.
+    /// Adds the outcomes that another instance has counted since its last report.
     void add(std::string_view service, std::string_view release, std::string_view route,
              const outcome_counts &counts);
-    /// Judges the evidence and steps the stages. Returns the services whose stage changed.
+    /// Evaluates the outcomes and advances the stages. Returns the services whose stage changed.
     std::vector<std::string> step(timestamp now);
 
-    /// Returns whether a server of @p service with @p release may take the request with random
-    /// @p bits now.
+    /// Returns whether a server of @p service that runs @p release may take a request at @p now.
+    /// @p bits are random bits of the request that decide which release it goes to.
     bool allows(timestamp now, std::string_view service, std::string_view release,
                 std::uint64_t bits) const;
-    /// Returns the request and the stage of @p service, or nothing where none is known.
+    /// Returns the operator's request for @p service, or nothing if there is none.
     std::optional<rollout_request> request(std::string_view service) const;
+    /// Returns the stage of the request for @p service, or nothing if there is no request.
     std::optional<rollout_stage> stage(std::string_view service) const;
-    /// Returns all requests.
+    /// Returns the operator's requests for all services.
     std::vector<rollout_request> requests() const;
 
 private:
@@ -73,7 +75,7 @@
         timestamp seenAt;
         rollout_stage stage = rollout_stage::Moving;
         evidence outcomes;
-        /// Another release that served requests: what the new one is compared with.
+        /// Last seen other release, which the new release is compared with.
         std::string baseline;
     };
 
--- a/libs/dispatch/include/dispatch/serving_tables.h
+++ b/libs/dispatch/include/dispatch/serving_tables.h
@@ -13,24 +13,24 @@
 
 namespace trefoil {
 
-/// What may happen again to a request of a route.
+/// Whether a request of a route may run more than once.
 enum class repeat_rule {
     /// Idempotent: may run any number of times.
     Safe,
     /// Runs at most once.
     Unsafe,
-    /// Answered by a series of events; runs at most once unless the route is resumable.
+    /// Answered by an event stream; runs at most once unless the route is resumable.
     Stream
 };
 
-/// A service that a route sends requests to, and its part of them.
+/// A service that a route sends requests to, with its relative weight.
 struct route_target
 {
     std::string service;
     double weight = 1;
 };
 
-/// A route by host and path.
+/// A route, selected by host and path prefix.
 struct served_route
 {
     std::string name;
@@ -40,77 +40,80 @@
     repeat_rule repeats = repeat_rule::Unsafe;
     /// Longest time that a request may take.
     duration timeout = std::chrono::seconds(60);
-    /// Time within which callers want the answer, or the first event of a stream.
-    duration aim = std::chrono::seconds(1);
-    /// 0 goes first.
+    /// Target latency of the answer, or of the first event of a stream.
+    duration targetLatency = std::chrono::seconds(1);
+    /// 0 is the highest priority.
     int priority = 0;
     std::vector<route_target> targets;
-    /// Backend servers that one request may run on.
+    /// Maximum number of backend servers that a request may run on.
     int maxAttempts = 1;
-    /// Whether callers need no key.
+    /// Whether callers may omit the API key.
     bool isOpen = false;
-    /// Whether an interrupted stream may go on at another backend server.
+    /// Whether an interrupted stream may be resumed on another backend server.
     bool isResumable = false;
 
-    /// Returns whether a request may run again after it may have run.
+    /// Returns whether a request may be sent again when it may already have run.
     bool mayRepeat() const { return repeats == repeat_rule::Safe || isResumable; }
 };
 
 /// Model engine behind a service.
 struct engine_traits
 {
-    /// Requests processed at once.
+    /// Requests processed concurrently.
     int slots = 1;
-    /// Tokens that the engine's memory holds: running requests and cached parts together.
+    /// Capacity of the engine's KV-cache memory in tokens, shared by running requests and cached
+    /// prompt parts.
     double memoryTokens = 0;
-    /// Bytes of KV cache for a token.
+    /// Bytes of KV cache per token.
     double bytesPerToken = 0;
-    /// Bandwidth of the engine's link in megabits a second.
+    /// Bandwidth of the engine's network link in megabits per second.
     double linkMbps = 0;
     std::vector<std::string> models;
 };
 
-/// A store of KV cache that engines copy parts of prompts to and from.
+/// A KV-cache store that engines copy the KV cache of prompt parts to and from.
 struct cache_store
 {
     endpoint address;
     std::string zone;
-    /// Bandwidth of its link in megabits a second, 0 where it isn't known.
+    /// Bandwidth of the store's network link in megabits per second, 0 if unknown.
     double linkMbps = 0;
 };
 
-/// A pool of backend servers, or a store of KV cache.
+/// A pool of backend servers, or a KV-cache store.
 struct served_service
 {
     std::string name;
     std::string healthPath;
-    /// Connections that one backend server takes from all instances together.
+    /// Maximum number of connections that a backend server accepts from all instances together.
     int connectionLimit = 0;
+    /// Set if the servers of the pool are model engines.
     std::optional<engine_traits> engine;
-    /// The store of KV cache, where the service is one.
+    /// Set if the service is a KV-cache store.
     std::optional<cache_store> cacheStore;
 };
 
 /// Unit in which a team's limit is counted.
 enum class limit_unit { Requests, Tokens };
 
-/// A team and its voted limit.
+/// A team and its rate limit.
 struct served_team
 {
     std::string name;
-    /// 0 goes first; stands above a route's priority.
+    /// 0 is the highest priority; takes precedence over a route's priority.
     int priority = 0;
     limit_unit unit = limit_unit::Requests;
-    /// Tokens that a request without a token count costs.
+    /// Tokens charged for a request without a token count.
     double plainTokens = 1;
-    /// Whether it shares no KV cache with other teams.
+    /// Whether the team shares no KV cache with other teams.
     bool isIsolated = false;
-    /// Units a second; 0 for no limit.
+    /// Units per second; 0 for no limit.
     double rate = 0;
+    /// Units that may be admitted at once.
     double burst = 0;
 };
 
-/// Bounds on what callers may send and how long they may stay idle.
+/// Limits on the size and timing of callers' requests.
 struct caller_bounds
 {
     std::size_t headerBytes = 16384;
@@ -119,14 +122,14 @@
     duration idleTimeout = std::chrono::seconds(15);
 };
 
-/// Configuration in force: immutable once published, so that threads share it freely.
+/// Active configuration. Immutable once published, so that threads can share it without locks.
 struct serving_tables
 {
     std::uint64_t version = 0;
     std::vector<served_route> routes;
     std::map<std::string, served_service, std::less<>> services;
     std::map<std::string, served_team, std::less<>> teams;
-    /// Name of the team by key.
+    /// Name of the team by API key.
     std::unordered_map<std::string, std::string> teamOfKey;
     caller_bounds bounds;
 
@@ -137,25 +140,25 @@
     const served_team *findTeam(std::string_view key) const;
     /// Returns the service called @p name, or nullptr. Thread-safe.
     const served_service *findService(std::string_view name) const;
-    /// Returns all stores of KV cache. Thread-safe.
+    /// Returns all KV-cache stores. Thread-safe.
     std::vector<cache_store> cacheStores() const;
 };
 
-/// A backend server as it describes itself.
+/// A backend server's registration, as published by the server.
 struct registered_server
 {
-    /// Differs for each server; a restarted one may keep it.
+    /// Unique among running servers; a restarted server may keep it.
     std::string id;
     std::string service;
     endpoint address;
     std::string zone;
-    /// Version of its software.
+    /// Software version.
     std::string release;
     int slots = 1;
     bool isLeaving = false;
-    /// Model weights that it runs.
+    /// Weights versions that the server runs, by model.
     std::map<std::string, std::uint64_t, std::less<>> weights;
-    /// When it started, in milliseconds since 1970; tells a restart under the same id.
+    /// Start time in milliseconds since 1970; distinguishes a restart under the same id.
     std::uint64_t startedAtMs = 0;
 };
 
--- a/libs/dispatch/include/dispatch/team_limits.h
+++ b/libs/dispatch/include/dispatch/team_limits.h
@@ -8,83 +8,87 @@
 #include <vector>
 
 #include <core/clock.h>
-#include <dispatch/report_silence.h>
+#include <dispatch/report_timeout.h>
 
 namespace trefoil {
 
-/// Units of each team since an instance started. Totals only grow, so that a lost report is made up
-/// for by the next.
+/// Units by team, such as the total admitted since an instance started. Reports carry running
+/// totals, so that a lost report is made up for by the next.
 using admitted_totals = std::map<std::string, double, std::less<>>;
 
-/// Options of the limits.
+/// Options of team_limits.
 struct team_limit_options
 {
-    /// An instance not heard for longer is taken to spend an equal share of each limit.
-    report_silence silence;
-    /// Below what all could overspend until the next report, within these parts of the burst, an
-    /// instance admits no more than its part of the rate, by what callers ask of it: else all would
-    /// spend the same rest.
-    double sharedLevel = 0.5;
-    double leastSharedLevel = 0.03;
-    /// Time until others hear of what was admitted: a report's period and its way.
+    /// An instance that is not heard for longer is assumed to spend an equal share of each limit.
+    report_timeout reportTimeout;
+    /// Bounds, as fractions of the burst, of the level below which an instance admits only its
+    /// share of the rate, in proportion to the demand that it sees. Between the bounds, that level
+    /// is what all instances together could overspend until the next report; otherwise each of them
+    /// would spend the same remainder.
+    double maxSharedLevel = 0.5;
+    double minSharedLevel = 0.03;
+    /// Time until other instances learn what was admitted: a report period plus transit time.
     duration reportLag = std::chrono::milliseconds(500);
-    /// Span in which a team may use the rate times the span and its burst, however often; zero for
-    /// a burst that has to be saved up again. A part of the burst is then given as rate, the rest
-    /// at once, which never comes to more in any such span.
+    /// Window in which a team may always use the rate times the window plus its burst; zero if a
+    /// spent burst must be refilled at the rate. With a window, a fraction of the burst is added to
+    /// the rate and the rest is admitted at once, which never exceeds that total in any window.
     duration window {};
-    /// Part of the burst that is given as rate: what is left covers uneven arrivals of a second.
-    double burstAsRate = 0.75;
-    /// Time over which the asking is averaged: a few reports.
-    duration askedTime = std::chrono::milliseconds(800);
+    /// Fraction of the burst that is added to the rate. The rest covers uneven arrivals within a
+    /// second.
+    double burstRateShare = 0.75;
+    /// Time constant of the demand average: a few report periods.
+    duration demandTime = std::chrono::milliseconds(800);
 };
 
-/// Limits of teams over all instances. Each instance keeps a copy of the one bucket of each team
-/// and takes from it what it admits, what the others report, and what they are expected to have
-/// admitted since their last report. So a team is cut at its limit on all instances within the
-/// delay of the reports, and an instance that hears nobody keeps to its share. Not thread-safe.
+/// Rate limits of teams across all instances. Each instance keeps a replica of each team's token
+/// bucket and takes from it what it admits, what the others report, and what the others are
+/// expected to have admitted since their last report. So a team is limited on all instances within
+/// the report delay, and an instance that receives no reports keeps to its share. Not thread-safe.
 ///
-/// Answers the load of one team that sends several times its usual: admission stops at the limit,
-/// before the requests take a backend server's memory.
+/// Handles a team that sends several times its usual load: admission stops at the limit, before the
+/// requests take a backend server's memory.
 class team_limits
 {
 public:
     explicit team_limits(const team_limit_options &options) : m_options(options) { }
 
-    /// Sets the limit of @p team: @p rate units a second and @p burst units at once. A changed
-    /// limit keeps the level, cut at the new burst.
+    /// Sets the limit of @p team to @p rate units per second and @p burst units at once. A changed
+    /// limit keeps the level, capped at the new burst.
     void setLimit(timestamp now, std::string_view team, double rate, double burst);
-    /// Removes the limits of teams that @p keep does not contain.
+    /// Removes the limits of teams that are not in @p keep.
     template <typename Teams>
     void keepOnly(const Teams &keep)
     {
         std::erase_if(m_buckets, [&keep](const auto &each) { return !keep.contains(each.first); });
     }
 
-    /// Admits @p units of @p team. Returns nothing when admitted, else the time after which the
-    /// bucket has room. A team without a limit is admitted.
+    /// Tries to admit @p units of @p team. Returns nothing if they were admitted, otherwise the
+    /// time after which to retry. A team without a limit is always admitted.
     std::optional<duration> admit(timestamp now, std::string_view team, double units);
-    /// Gives back units of a request that never ran.
+    /// Returns the units of a request that never ran.
     void giveBack(std::string_view team, double units);
 
-    /// Names the other instances that are known to exist, heard or not.
+    /// Sets the names of all other known instances, whether or not they have been heard.
     void setPeers(timestamp now, const std::vector<std::string> &peers);
-    /// Takes the totals of @p peer, which announces its next report after @p period.
-    /// @p incarnation tells a restart, after which totals start at 0.
-    void takeReport(timestamp now, std::string_view peer, std::uint64_t incarnation,
-                    const admitted_totals &admitted, const admitted_totals &askedRates,
-                    duration period = {});
-    /// Lowers levels to those that an instance reports which has counted for longer than this one.
+    /// Applies the totals and demand rates that @p peer reports, which announces its next report
+    /// after @p period. A changed @p incarnation means that the peer restarted with totals of 0.
+    void applyReport(timestamp now, std::string_view peer, std::uint64_t incarnation,
+                     const admitted_totals &admitted, const admitted_totals &askedRates,
+                     duration period = {});
+    /// Replaces the levels by those that an instance reports which has run for longer than this
+    /// one, capped at the burst.
     void adoptLevels(timestamp now, const admitted_totals &levels);
 
-    /// State of a team's limit that decided about a request.
+    /// State of a team's limit, for logging an admission decision.
     struct team_view
     {
         double rate = 0;
         double level = 0;
-        /// Part of the rate that falls to this instance while the level is low.
-        double part = 1;
-        /// Other instances heard lately, and all that are known.
+        /// Share of the rate that this instance may admit while the level is low.
+        double share = 1;
+        /// Other instances heard recently.
         int heard = 0;
+        /// Other known instances.
         int known = 0;
     };
     /// Returns the state of @p team's limit.
@@ -92,9 +96,9 @@
 
     /// Returns what this instance has admitted since it started.
     const admitted_totals &totals() const { return m_totals; }
-    /// Returns the units a second that callers ask of this instance.
+    /// Returns the demand on this instance by team, in units per second.
     admitted_totals askedRates(timestamp now);
-    /// Returns the level of each bucket at @p now.
+    /// Returns the bucket level of each team at @p now.
     admitted_totals levels(timestamp now);
 
 private:
@@ -104,51 +108,51 @@
         double burst = 0;
         double level = 0;
         timestamp filledAt;
-        /// What may be admitted here while the level is low.
+        /// Units that this instance may admit while the level is low.
         double allowance = 0;
-        /// Units asked lately, fading over askedTime.
-        double asked = 0;
-        /// Usual units of a request.
+        /// Units requested recently, with exponential decay over demandTime.
+        double demand = 0;
+        /// Average units of a request.
         double size = 0;
     };
     struct peer_usage
     {
         double total = 0;
-        /// Units a second between the last two reports.
+        /// Units per second admitted between the last two reports.
         double rate = 0;
-        double askedRate = 0;
-        /// Already taken from the bucket for the time since the last report.
+        double demandRate = 0;
+        /// Units taken from the bucket in advance for the time since the last report.
         double expected = 0;
     };
     struct peer_state
     {
         std::uint64_t incarnation = 0;
         timestamp heardAt;
-        /// Time until its next report, as it said.
+        /// Announced time until the next report.
         duration period {};
         std::map<std::string, peer_usage, std::less<>> teams;
     };
 
-    /// What callers ask of a team, in units a second: here and of all instances, by their reports.
-    struct asked_view
+    /// Demand of a team in units per second, on this instance and on all instances.
+    struct demand_view
     {
         double own = 0;
         double all = 0;
-        /// Instances that are asked, this one included.
-        int askers = 1;
-        /// Part of the rate that is this instance's.
-        double part() const { return all > 0 ? own / all : 1; }
+        /// Instances with demand, including this one.
+        int requesters = 1;
+        /// Returns the share of the rate that falls to this instance.
+        double share() const { return all > 0 ? own / all : 1; }
     };
 
     bool isSilent(timestamp now, const peer_state &peer) const
     {
-        return now - peer.heardAt > m_options.silence.longest(m_peers.size(), peer.period);
+        return now - peer.heardAt > m_options.reportTimeout.timeout(m_peers.size(), peer.period);
     }
-    void bring(timestamp now, std::string_view team, bucket &account);
-    double shareOfSilent(const bucket &account) const;
-    asked_view askedOf(std::string_view team, const bucket &account) const;
-    /// Returns the level below which the instances keep to their parts.
-    double sharedBelow(const asked_view &asked, const bucket &account) const;
+    void refill(timestamp now, std::string_view team, bucket &account);
+    double silentPeerRate(const bucket &account) const;
+    demand_view demandOf(std::string_view team, const bucket &account) const;
+    /// Returns the level below which each instance admits only its share of the rate.
+    double sharingThreshold(const demand_view &demand, const bucket &account) const;
 
     team_limit_options m_options;
     std::map<std::string, bucket, std::less<>> m_buckets;
--- a/libs/dispatch/include/dispatch/weights_plan.h
+++ b/libs/dispatch/include/dispatch/weights_plan.h
@@ -13,32 +13,34 @@
 
 namespace trefoil {
 
-/// Order to a backend server to load newer weights.
+/// An order to a backend server to load newer weights.
 struct weights_order
 {
     std::string server;
     endpoint address;
     std::string model;
     std::uint64_t version = 0;
-    /// Orders that the server must have accepted so far, so that an order that was delayed on its
-    /// way can't undo a newer one.
+    /// Number of orders that the server must have accepted before, so that an order delayed in
+    /// transit can't override a newer one.
     std::uint64_t expectedOrders = 0;
+    /// Fencing token: epoch of the duty under which the order is sent.
     std::uint64_t epoch = 0;
 };
 
-/// How a server answered an order.
+/// Answer of a server to an order.
 enum class order_answer {
-    /// It loads, or already runs what was ordered.
+    /// The server loads or already runs the ordered weights.
     Accepted,
-    /// Another order is in progress, or it has accepted another number of orders than expected.
+    /// Another order is in progress, or the server has accepted a different number of orders than
+    /// expected.
     Conflict,
-    /// It runs as another server now, or refused for good.
+    /// Another server answers at the address, or the server refused permanently.
     Refused,
-    /// No answer: the order may be carried out now, later or never.
+    /// No answer: the order may be executed now, later or never.
     Unknown
 };
 
-/// What a server reports of its orders.
+/// State of its orders that a server reports.
 struct order_state
 {
     std::uint64_t acceptedOrders = 0;
@@ -46,70 +48,71 @@
     std::map<std::string, std::uint64_t, std::less<>> weights;
 };
 
-/// Options of a plan.
+/// Options of a weights plan.
 struct weights_plan_options
 {
-    /// Part of a pool that may load at once: more slow each other down and leave too few servers
-    /// for the load.
-    double shareAtOnce = 0.2;
-    /// Servers that may load at once in any pool.
-    int leastAtOnce = 3;
-    /// A load takes about this long; the server is asked from then on.
-    duration askAfter = std::chrono::milliseconds(1300);
-    /// Time between questions to a server that loads.
-    duration askEvery = std::chrono::milliseconds(300);
-    /// An order without a result by then counts as lost. The runs that it waits for may take
-    /// seconds.
+    /// Share of a pool that may load concurrently. More loads slow each other down and leave too
+    /// few servers for requests.
+    double maxLoadingShare = 0.2;
+    /// Number of servers that may always load concurrently in a pool, however small its share.
+    int minConcurrentLoads = 3;
+    /// Usual duration of a load, after which the server is polled.
+    duration pollDelay = std::chrono::milliseconds(1300);
+    /// Time between polls of a loading server.
+    duration pollInterval = std::chrono::milliseconds(300);
+    /// Time after which an order without a result counts as lost. A server first finishes its
+    /// running requests, which may take seconds.
     duration orderTimeout = std::chrono::seconds(6);
-    /// Wait after a refusal or a missing answer before the server is looked at again.
+    /// Wait after a refusal or a missing answer before the server is polled again.
     duration retryAfter = std::chrono::milliseconds(500);
 };
 
-/// Brings the newest weights to all servers of a model, a part of each pool at a time, the least
-/// loaded first. Run by the one holder of the duty. A pure state machine; not thread-safe.
+/// Rolls the newest weights out to all servers of a model, to a share of each pool at a time, in
+/// order of the oldest weights and then the least load. Run only by the holder of the duty. A pure
+/// state machine; not thread-safe.
 ///
-/// Answers several versions named within seconds under load: a version that was superseded is
-/// skipped, and so many servers stay in service that the rest can take the load.
+/// Handles several versions announced within seconds under load: superseded versions are skipped,
+/// and enough servers stay in service to take the load.
 class weights_plan
 {
 public:
     explicit weights_plan(const weights_plan_options &options) : m_options(options) { }
 
-    /// Servers to order and to ask now.
+    /// Actions that are due.
     struct actions
     {
         std::vector<weights_order> orders;
-        /// Servers whose state must be read: the one that was ordered may be done, or its orders
-        /// are not known.
-        std::vector<registered_server> questions;
+        /// Servers whose order state must be read, because a load may be complete or the number of
+        /// accepted orders is unknown.
+        std::vector<registered_server> serversToPoll;
     };
 
-    /// What is known when the plan is made.
+    /// Input of the plan.
     struct inputs
     {
-        /// All known servers with what they are believed to run.
+        /// All known servers with the weights that they are assumed to run.
         std::span<const registered_server> servers;
-        /// Requests running by server.
+        /// Number of running requests by server.
         std::map<std::string, int, std::less<>> running;
-        /// Version wanted by model.
+        /// Newest announced weights version by model.
         std::map<std::string, std::uint64_t, std::less<>> newest;
-        /// Servers that another holder may have ordered lately, and until when they get no order
-        /// from this one.
-        std::map<std::string, timestamp, std::less<>> barredUntil;
-        /// Servers that can't be reached from here: neither asked nor ordered until they can.
+        /// Servers to which a previous holder may have sent an order recently, with the time until
+        /// which they get no orders from this holder.
+        std::map<std::string, timestamp, std::less<>> blockedUntil;
+        /// Servers that this instance can't reach; they are neither polled nor sent orders.
         std::set<std::string, std::less<>> unreachable;
     };
 
-    /// Returns what is due.
+    /// Returns the actions due at @p now. @p epoch goes with each order.
     actions next(timestamp now, std::uint64_t epoch, const inputs &known);
     /// Takes the answer to an order.
     void onAnswer(timestamp now, std::string_view server, order_answer answer);
-    /// Takes what a server reported; @p state is empty where it did not answer.
+    /// Takes the order state that @p server reported; @p state is null if it didn't answer.
     void onState(timestamp now, std::string_view server, const order_state *state);
-    /// Forgets all progress, when the duty was taken over.
+    /// Clears all progress. Call when the duty has been taken over.
     void reset() { m_progress.clear(); }
 
-    /// Returns the servers that load now.
+    /// Returns the servers that have an order in progress.
     std::vector<std::string> loading() const;
 
 private:
@@ -117,15 +120,15 @@
     struct progress
     {
         std::uint64_t startedAtMs = 0;
-        stage at = stage::Idle;
+        stage current = stage::Idle;
         std::string model;
         std::uint64_t version = 0;
         bool ordersKnown = false;
         std::uint64_t acceptedOrders = 0;
         timestamp since;
         timestamp notBefore;
-        bool isAsked = false;
-        bool wasAsked = false;
+        bool isPolling = false;
+        bool wasPolled = false;
     };
 
     progress &progressOf(const registered_server &server);
--- a/libs/dispatch/src/duty_lease.cpp
+++ b/libs/dispatch/src/duty_lease.cpp
@@ -7,10 +7,10 @@
 namespace {
 
 /// Time between a candidate's reads while it waits for a lease to end.
-constexpr duration readEvery = std::chrono::milliseconds(400);
-/// Time between reads after a write without a known outcome: the lease is running out.
-constexpr duration retryEvery = std::chrono::milliseconds(100);
-/// Margin between the end of a lease and a take-over, for clocks that run at different rates.
+constexpr duration readInterval = std::chrono::milliseconds(400);
+/// Time between reads after a write with an unknown outcome. Short, because the lease is expiring.
+constexpr duration retryInterval = std::chrono::milliseconds(100);
+/// Margin between the end of a lease and a take-over, for clocks with different rates.
 constexpr duration clockMargin = std::chrono::milliseconds(200);
 
 } // namespace
@@ -29,7 +29,7 @@
     return writeJson(value);
 }
 
-std::optional<duty_record> dutyFromText(std::string_view text)
+std::optional<duty_record> parseDutyRecord(std::string_view text)
 {
     const result<Json::Value> value = parseJson(text, "duty record");
     if (!value || !value->isObject() || !(*value)["holder"].isString())
@@ -53,32 +53,33 @@
 {
     if (isOwn()) {
         if (m_mustRead)
-            return now - m_readAt >= retryEvery ? duty_step::Read : duty_step::None;
+            return now - m_readAt >= retryInterval ? duty_step::Read : duty_step::None;
         if (!mayHold)
             return m_record.isReleased ? duty_step::None : duty_step::Write;
-        if (now < m_writeStartedAt + m_options.renewEvery)
+        if (now < m_writeStartedAt + m_options.renewInterval)
             return duty_step::None;
-        // A lease that lapsed may have been taken over: look before writing.
+        // An expired lease may have been taken over: read before writing.
         return now < m_heldUntil ? duty_step::Write : duty_step::Read;
     }
     if (!mayHold || isHolderAlive) {
-        m_lacksHolderSince.reset();
+        m_noHolderSince.reset();
         return duty_step::None;
     }
-    // Those of low rank look first: in a large fleet the others hear of a holder before their turn.
-    if (!m_lacksHolderSince)
-        m_lacksHolderSince = now;
-    if (now - *m_lacksHolderSince < m_options.lookDelay * rank)
+    // Instances of low rank read first; in a large fleet the others hear of a holder before their
+    // own delay ends.
+    if (!m_noHolderSince)
+        m_noHolderSince = now;
+    if (now - *m_noHolderSince < m_options.firstReadDelay * rank)
         return duty_step::None;
-    // A holder never waits for itself, and nobody waits for one that gave the duty up.
-    const bool isFree = m_record.isReleased || m_record.holder.empty() || m_isOwnFormer;
-    const duration patience = isFree ? duration::zero() : m_options.life + clockMargin;
-    const duration turn = m_isOwnFormer ? duration::zero() : m_options.rankDelay * rank;
-    const bool isOver = m_isKnown && m_readAt - m_unchangedSince >= patience
-        && now - m_unchangedSince >= patience + turn;
-    if (isOver && now - m_readAt < readEvery)
+    // No wait if the duty was released or never held, or if the record names this instance.
+    const bool isFree = m_record.isReleased || m_record.holder.empty() || m_isOwnEarlierRecord;
+    const duration leaseWait = isFree ? duration::zero() : m_options.leaseDuration + clockMargin;
+    const duration rankWait = m_isOwnEarlierRecord ? duration::zero() : m_options.rankDelay * rank;
+    const bool isOver = m_isKnown && m_readAt - m_unchangedSince >= leaseWait
+        && now - m_unchangedSince >= leaseWait + rankWait;
+    if (isOver && now - m_readAt < readInterval)
         return duty_step::Write;
-    return !m_isKnown || now - m_readAt >= readEvery ? duty_step::Read : duty_step::None;
+    return !m_isKnown || now - m_readAt >= readInterval ? duty_step::Read : duty_step::None;
 }
 
 void duty_lease::onRead(timestamp now, const std::optional<duty_record> &record,
@@ -93,7 +94,7 @@
         m_revision = revision;
         return;
     }
-    m_isOwnFormer = seen.holder == m_options.self;
+    m_isOwnEarlierRecord = seen.holder == m_options.self;
     if (!m_isKnown || revision != m_revision)
         m_unchangedSince = now;
     m_isHeld = false;
@@ -119,7 +120,8 @@
 void duty_lease::onWritten(timestamp now, std::optional<std::uint64_t> revision, bool knowsOrders)
 {
     if (!revision) {
-        // It may have been written or not, or somebody else was first: look before the next one.
+        // The write may or may not have reached the store, or lost against another one: read before
+        // the next write.
         m_mustRead = true;
         m_isKnown = m_isKnown && isOwn();
         return;
@@ -130,20 +132,22 @@
     m_revision = *revision;
     m_isHeld = true;
     m_isKnown = true;
-    m_heldUntil = m_writeStartedAt + m_options.life;
+    m_heldUntil = m_writeStartedAt + m_options.leaseDuration;
     if (!isTakeOver)
         return;
-    if (before.holder.empty() || (m_isOwnFormer && before.isSettled)) {
+    if (before.holder.empty() || (m_isOwnEarlierRecord && before.isSettled)) {
         m_settledFrom = now;
         m_actsFrom = now;
         return;
     }
-    // An own record that isn't settled says nothing of when the holder before it acted last.
-    timestamp endOfOther = now;
-    if (!m_isOwnFormer)
-        endOfOther = before.isReleased ? m_unchangedSince : m_unchangedSince + m_options.life;
-    m_settledFrom = endOfOther + m_options.quietTime;
-    m_actsFrom = knowsOrders && !m_isOwnFormer ? now : m_settledFrom;
+    // An earlier record of this instance that isn't settled doesn't tell when the previous holder
+    // last acted.
+    timestamp previousLeaseEnd = now;
+    if (!m_isOwnEarlierRecord)
+        previousLeaseEnd =
+            before.isReleased ? m_unchangedSince : m_unchangedSince + m_options.leaseDuration;
+    m_settledFrom = previousLeaseEnd + m_options.quietTime;
+    m_actsFrom = knowsOrders && !m_isOwnEarlierRecord ? now : m_settledFrom;
 }
 
 bool duty_lease::holds(timestamp now) const
--- a/libs/dispatch/src/load_board.cpp
+++ b/libs/dispatch/src/load_balancer.cpp
@@ -1,9 +1,9 @@
-#include <dispatch/load_board.h>
+#include <dispatch/load_balancer.h>
 
 #include <algorithm>
 #include <limits>
 
-#include "part_belief.h"
+#include "cached_parts.h"
 
 namespace trefoil {
 
@@ -11,35 +11,37 @@
 
 /// Weight of the newest outcome in a server's failure share: about the last eight requests.
 constexpr double outcomeWeight = 0.12;
-/// A server is suspect when it fails this share of its requests and the pool fails half of it.
+/// A server is suspect if it fails more than this share of its requests while its pool on average
+/// fails less than half as many.
 constexpr double suspectShare = 0.3;
-/// Losses in a row that make a server suspect.
+/// Consecutive lost requests that make a server suspect.
 constexpr int lossesToSuspect = 2;
-/// First time under suspicion; doubled with each one up to the longest.
-constexpr duration firstSuspicion = std::chrono::milliseconds(700);
-constexpr duration longestSuspicion = std::chrono::seconds(6);
-/// Time between tries to connect to a server that can't be reached.
-constexpr duration probeEvery = std::chrono::milliseconds(500);
-/// What another instance can't reach is tried from here at most this often.
-constexpr duration doubtEvery = std::chrono::milliseconds(1500);
-/// Weight of the newest measurement of a server's speed.
-constexpr double speedWeight = 0.1;
-/// Parts remembered for a server, and for the store.
+/// Time for which a server stays suspect; doubled with each suspicion up to the maximum.
+constexpr duration minSuspicionTime = std::chrono::milliseconds(700);
+constexpr duration maxSuspicionTime = std::chrono::seconds(6);
+/// Time between probes of a server that can't be reached.
+constexpr duration probeInterval = std::chrono::milliseconds(500);
+/// Minimum time between probes that other instances cause.
+constexpr duration requestedProbeInterval = std::chrono::milliseconds(1500);
+/// Weight of the newest measurement in a server's average latency.
+constexpr double latencyWeight = 0.1;
+/// Maximum number of parts remembered for a server and for a KV-cache store.
 constexpr std::size_t maxParts = 4096;
 constexpr std::size_t maxStoreParts = 65536;
-/// Placements kept for the next report.
-constexpr std::size_t maxPlacedParts = 256;
-/// Longest use of a store's link for one prompt that is believed.
-constexpr duration longestStoreUse = std::chrono::milliseconds(500);
-/// A server that runs none of the weights to be tried is left alone for this long.
-constexpr duration otherWeightsRest = std::chrono::milliseconds(400);
+/// Maximum number of placements kept for the next report.
+constexpr std::size_t maxCachePlacements = 256;
+/// Upper bound of the time that one prompt is assumed to occupy a store's link.
+constexpr duration maxStoreTransferTime = std::chrono::milliseconds(500);
+/// Time for which a server gets no requests when it runs none of the announced weights.
+constexpr duration weightsMismatchBackoff = std::chrono::milliseconds(400);
 
 template <typename Parts>
-void forgetOldest(Parts &parts, std::size_t most, timestamp now)
+void evictExpired(Parts &parts, std::size_t maxCount, timestamp now)
 {
-    if (parts.size() <= most)
+    if (parts.size() <= maxCount)
         return;
-    std::erase_if(parts, [now](const auto &each) { return now - each.second > partLife; });
+    std::erase_if(parts,
+                  [now](const auto &each) { return now - each.second > cachedPartLifetime; });
 }
 
 } // namespace
@@ -54,11 +56,11 @@
     return name;
 }
 
-load_board::load_board(const load_board_options &options)
+load_balancer::load_balancer(const load_balancer_options &options)
     : m_options(options), m_random(options.randomSeed)
 { }
 
-void load_board::setServers(std::span<const registered_server> servers)
+void load_balancer::setServers(std::span<const registered_server> servers)
 {
     std::map<std::string, server_state, std::less<>> next;
     for (const registered_server &server : servers) {
@@ -69,7 +71,7 @@
         const std::map<std::string, std::uint64_t, std::less<>> before =
             isSame ? state.info.weights : decltype(state.info.weights) {};
         state.info = server;
-        // A listed entry may be older than what an answer said.
+        // The listed weights may be older than those already observed.
         for (auto it = before.begin(); it != before.end(); ++it) {
             std::uint64_t &version = state.info.weights[it->first];
             if (version > it->second)
@@ -81,7 +83,7 @@
     m_servers = std::move(next);
 }
 
-void load_board::setTables(const serving_tables &tables)
+void load_balancer::setTables(const serving_tables &tables)
 {
     m_engines.clear();
     for (auto it = tables.services.begin(); it != tables.services.end(); ++it) {
@@ -100,26 +102,26 @@
     m_stores = std::move(stores);
 }
 
-load_board::store_state *load_board::findStore(std::string_view address)
+load_balancer::store_state *load_balancer::findStore(std::string_view address)
 {
     const auto found = std::find_if(m_stores.begin(), m_stores.end(),
                                     [&](const store_state &each) { return each.name == address; });
     return found == m_stores.end() ? nullptr : &*found;
 }
 
-load_board::server_state *load_board::findServer(std::string_view id)
+load_balancer::server_state *load_balancer::findServer(std::string_view id)
 {
     const auto found = m_servers.find(id);
     return found == m_servers.end() ? nullptr : &found->second;
 }
 
-const load_board::server_state *load_board::findServer(std::string_view id) const
+const load_balancer::server_state *load_balancer::findServer(std::string_view id) const
 {
     const auto found = m_servers.find(id);
     return found == m_servers.end() ? nullptr : &found->second;
 }
 
-std::vector<std::string> load_board::serversThat(bool server_state::*flag) const
+std::vector<std::string> load_balancer::serversWithFlag(bool server_state::*flag) const
 {
     std::vector<std::string> names;
     for (auto it = m_servers.begin(); it != m_servers.end(); ++it) {
@@ -129,7 +131,7 @@
     return names;
 }
 
-std::vector<endpoint> load_board::cacheStores() const
+std::vector<endpoint> load_balancer::cacheStores() const
 {
     std::vector<endpoint> addresses;
     for (const store_state &store : m_stores)
@@ -137,7 +139,7 @@
     return addresses;
 }
 
-void load_board::noteStoreState(std::string_view address, std::uint64_t epoch)
+void load_balancer::setStoreEpoch(std::string_view address, std::uint64_t epoch)
 {
     store_state *store = findStore(address);
     if (store == nullptr)
@@ -145,31 +147,32 @@
     store->isReachable = epoch != 0;
     if (epoch == 0 || epoch == store->epoch)
         return;
-    // It restarted with nothing.
+    // The store has restarted empty.
     if (store->epoch != 0)
         store->parts.clear();
     store->epoch = epoch;
 }
 
-void load_board::noteNamedWeights(std::string_view model, std::uint64_t version, timestamp since)
+void load_balancer::addAnnouncedWeights(std::string_view model, std::uint64_t version,
+                                        timestamp since)
 {
-    timestamp &known = m_named[std::string(model)].try_emplace(version, since).first->second;
+    timestamp &known = m_announced[std::string(model)].try_emplace(version, since).first->second;
     known = std::min(known, since);
 }
 
-void load_board::noteSeenWeights(timestamp now, std::string_view server, std::string_view model,
-                                 std::uint64_t version)
+void load_balancer::onWeightsObserved(timestamp now, std::string_view server,
+                                      std::string_view model, std::uint64_t version)
 {
     server_state *state = findServer(server);
     if (state == nullptr)
         return;
     if (version > state->info.weights[std::string(model)])
-        state->weightsSeenAt = now;
-    noteToldWeights(server, model, version);
+        state->weightsObservedAt = now;
+    onWeightsReported(server, model, version);
 }
 
-void load_board::noteToldWeights(std::string_view server, std::string_view model,
-                                 std::uint64_t version)
+void load_balancer::onWeightsReported(std::string_view server, std::string_view model,
+                                      std::uint64_t version)
 {
     server_state *state = findServer(server);
     if (state == nullptr)
@@ -184,35 +187,35 @@
     state->parts.clear();
 }
 
-void load_board::noteOtherWeights(timestamp now, std::string_view server, std::string_view model,
-                                  std::uint64_t tried)
+void load_balancer::onWeightsMismatch(timestamp now, std::string_view server,
+                                      std::string_view model, std::uint64_t tried)
 {
     server_state *state = findServer(server);
     if (state == nullptr)
         return;
     state->guessedWeights = 0;
-    const auto named = m_named.find(model);
-    if (named != m_named.end()) {
-        const auto next = named->second.upper_bound(tried);
-        if (next != named->second.end())
+    const auto announced = m_announced.find(model);
+    if (announced != m_announced.end()) {
+        const auto next = announced->second.upper_bound(tried);
+        if (next != announced->second.end())
             state->guessedWeights = next->first;
     }
     if (state->guessedWeights == 0)
-        state->loadingUntil = std::max(state->loadingUntil, now + otherWeightsRest);
+        state->loadingUntil = std::max(state->loadingUntil, now + weightsMismatchBackoff);
 }
 
-void load_board::noteGone(std::string_view server)
+void load_balancer::markGone(std::string_view server)
 {
     if (server_state *state = findServer(server))
         state->isGone = true;
 }
 
-std::vector<std::string> load_board::goneServers() const
+std::vector<std::string> load_balancer::goneServers() const
 {
-    return serversThat(&server_state::isGone);
+    return serversWithFlag(&server_state::isGone);
 }
 
-std::uint64_t load_board::weightsOf(const server_state &state, std::string_view model)
+std::uint64_t load_balancer::weightsOf(const server_state &state, std::string_view model)
 {
     if (state.guessedWeights != 0)
         return state.guessedWeights;
@@ -220,25 +223,25 @@
     return runs == state.info.weights.end() ? 0 : runs->second;
 }
 
-std::map<std::string, std::uint64_t, std::less<>> load_board::newestWeights() const
+std::map<std::string, std::uint64_t, std::less<>> load_balancer::newestWeights() const
 {
     std::map<std::string, std::uint64_t, std::less<>> newest;
-    for (auto it = m_named.begin(); it != m_named.end(); ++it)
+    for (auto it = m_announced.begin(); it != m_announced.end(); ++it)
         newest[it->first] = it->second.rbegin()->first;
     return newest;
 }
 
-std::vector<registered_server> load_board::serversWithNewWeights(timestamp since) const
+std::vector<registered_server> load_balancer::serversWithNewWeights(timestamp since) const
 {
     std::vector<registered_server> changed;
     for (auto it = m_servers.begin(); it != m_servers.end(); ++it) {
-        if (it->second.weightsSeenAt > since)
+        if (it->second.weightsObservedAt > since)
             changed.push_back(it->second.info);
     }
     return changed;
 }
 
-std::vector<std::string> load_board::releasesOf(std::string_view service) const
+std::vector<std::string> load_balancer::releasesOf(std::string_view service) const
 {
     std::vector<std::string> releases;
     for (auto it = m_servers.begin(); it != m_servers.end(); ++it) {
@@ -250,23 +253,23 @@
     return releases;
 }
 
-void load_board::noteLoading(std::string_view server, timestamp until)
+void load_balancer::markLoading(std::string_view server, timestamp until)
 {
     if (server_state *state = findServer(server))
         state->loadingUntil = until;
 }
 
-server_load load_board::totalLoad(timestamp now, std::string_view server) const
+server_load load_balancer::totalLoad(timestamp now, std::string_view server) const
 {
     const server_state *state = findServer(server);
     return state == nullptr ? server_load {} : totalLoad(now, *state);
 }
 
-server_load load_board::totalLoad(timestamp now, const server_state &state) const
+server_load load_balancer::totalLoad(timestamp now, const server_state &state) const
 {
     server_load total = state.own;
     for (auto it = state.peers.begin(); it != state.peers.end(); ++it) {
-        if (now - it->second.at > m_options.reportLife)
+        if (now - it->second.at > m_options.reportLifetime)
             continue;
         total.running += it->second.load.running;
         total.pendingTokens += it->second.load.pendingTokens;
@@ -275,13 +278,14 @@
     return total;
 }
 
-bool load_board::isSuspect(timestamp now, std::string_view server) const
+bool load_balancer::isSuspect(timestamp now, std::string_view server) const
 {
     const server_state *state = findServer(server);
     return state != nullptr && now < state->suspectUntil;
 }
 
-std::uint64_t load_board::begin(timestamp now, const work_placement &placed, const work_item &work)
+std::uint64_t load_balancer::begin(timestamp now, const server_placement &placed,
+                                   const request_profile &request)
 {
     server_state *server = findServer(placed.server);
     ticket_state ticket {.server = placed.server,
@@ -295,15 +299,15 @@
         own.running += 1;
         own.pendingTokens += ticket.pendingTokens;
         own.memoryTokens += ticket.memoryTokens;
-        if (ticket.isModel && work.prompt.size() > 1) {
-            placed_parts parts {.server = placed.server,
-                                .store = placed.busyStore,
-                                .isKept = placed.cacheSink.has_value(),
-                                .storeMs = placed.storeMs};
-            for (std::size_t i = 0; i + 1 < work.prompt.size(); ++i)
-                parts.parts.push_back(partKey(placed.cacheName, work.prompt[i].id));
-            notePlacedParts(now, std::span(&parts, 1));
-            if (m_placed.size() < maxPlacedParts)
+        if (ticket.isModel && request.prompt.size() > 1) {
+            cache_placement parts {.server = placed.server,
+                                   .store = placed.transferStore,
+                                   .isStored = placed.cacheSink.has_value(),
+                                   .storeTransferMs = placed.storeTransferMs};
+            for (std::size_t i = 0; i + 1 < request.prompt.size(); ++i)
+                parts.parts.push_back(cachedPartKey(placed.cacheName, request.prompt[i].id));
+            addCachePlacements(now, std::span(&parts, 1));
+            if (m_placed.size() < maxCachePlacements)
                 m_placed.push_back(std::move(parts));
         }
     }
@@ -311,34 +315,39 @@
     return m_nextTicket++;
 }
 
-void load_board::noteParts(timestamp now, server_state &state, std::span<const std::uint64_t> parts)
+void load_balancer::touchParts(timestamp now, server_state &state,
+                               std::span<const std::uint64_t> parts)
 {
     for (const std::uint64_t part : parts)
         state.parts[part] = now;
-    forgetOldest(state.parts, maxParts, now);
+    evictExpired(state.parts, maxParts, now);
 }
 
-void load_board::notePlacedParts(timestamp now, std::span<const placed_parts> placements)
+void load_balancer::addCachePlacements(timestamp now, std::span<const cache_placement> placements)
 {
-    for (const placed_parts &placed : placements) {
+    for (const cache_placement &placed : placements) {
         if (server_state *server = findServer(placed.server))
-            noteParts(now, *server, placed.parts);
+            touchParts(now, *server, placed.parts);
         store_state *store = findStore(placed.store);
         if (store == nullptr)
             continue;
-        const duration busy = std::min(fromSeconds(placed.storeMs / 1000), longestStoreUse);
+        const duration busy =
+            std::min(fromSeconds(placed.storeTransferMs / 1000), maxStoreTransferTime);
         store->busyUntil = std::max(store->busyUntil, now) + busy;
-        if (!placed.isKept)
+        if (!placed.isStored)
             continue;
         for (const std::uint64_t part : placed.parts)
             store->parts[part] = now;
-        forgetOldest(store->parts, maxStoreParts, now);
+        evictExpired(store->parts, maxStoreParts, now);
     }
 }
 
-std::vector<placed_parts> load_board::takePlacedParts() { return std::exchange(m_placed, {}); }
+std::vector<cache_placement> load_balancer::takeCachePlacements()
+{
+    return std::exchange(m_placed, {});
+}
 
-void load_board::noteFirstEvent(timestamp now, std::uint64_t ticket)
+void load_balancer::onFirstEvent(timestamp now, std::uint64_t ticket)
 {
     const auto found = m_tickets.find(ticket);
     if (found == m_tickets.end() || found->second.hasStarted)
@@ -354,71 +363,71 @@
         const double ratio = std::clamp(measured / state.expectedMs, 0.3, 6.0);
         double &slowness = server->slowness;
         slowness =
-            std::clamp(slowness * (1 - speedWeight) + slowness * ratio * speedWeight, 0.5, 8.0);
+            std::clamp(slowness * (1 - latencyWeight) + slowness * ratio * latencyWeight, 0.5, 8.0);
     }
 }
 
-void load_board::noteSilence(timestamp now, std::uint64_t ticket)
+void load_balancer::onServerSilent(timestamp now, std::uint64_t ticket)
 {
     const auto found = m_tickets.find(ticket);
     if (found == m_tickets.end() || found->second.wasSilent)
         return;
     found->second.wasSilent = true;
     if (server_state *server = findServer(found->second.server))
-        suspect(now, *server);
+        markSuspect(now, *server);
 }
 
-void load_board::suspect(timestamp now, server_state &state)
+void load_balancer::markSuspect(timestamp now, server_state &state)
 {
     if (now < state.suspectUntil)
         return;
     const duration time =
-        std::min(firstSuspicion * (1 << std::min(state.suspicions, 4)), longestSuspicion);
+        std::min(minSuspicionTime * (1 << std::min(state.suspicionCount, 4)), maxSuspicionTime);
     state.suspectUntil = now + time;
-    state.suspicions += 1;
+    state.suspicionCount += 1;
     state.needsProbe = true;
 }
 
-std::vector<registered_server> load_board::serversToProbe(timestamp now)
+std::vector<registered_server> load_balancer::serversToProbe(timestamp now)
 {
     std::vector<registered_server> due;
     for (auto it = m_servers.begin(); it != m_servers.end(); ++it) {
         server_state &state = it->second;
-        if (!state.needsProbe || state.isProbed || state.isGone
-            || now - state.probedAt < probeEvery)
+        if (!state.needsProbe || state.isProbing || state.isGone
+            || now - state.probedAt < probeInterval)
             continue;
         state.probedAt = now;
-        state.isProbed = true;
+        state.isProbing = true;
         due.push_back(state.info);
     }
     return due;
 }
 
-void load_board::noteProbe(std::string_view server, bool isReachable)
+void load_balancer::onProbeResult(std::string_view server, bool isReachable)
 {
     server_state *state = findServer(server);
     if (state == nullptr)
         return;
-    state->isProbed = false;
+    state->isProbing = false;
     state->isUnreachable = !isReachable;
     state->needsProbe = !isReachable;
     if (isReachable)
-        state->lostInARow = 0;
+        state->consecutiveLosses = 0;
 }
 
-void load_board::noteDoubt(timestamp now, std::string_view server)
+void load_balancer::requestProbe(timestamp now, std::string_view server)
 {
     server_state *state = findServer(server);
-    if (state != nullptr && now - state->probedAt > doubtEvery)
+    if (state != nullptr && now - state->probedAt > requestedProbeInterval)
         state->needsProbe = true;
 }
 
-std::vector<std::string> load_board::unreachableServers() const
+std::vector<std::string> load_balancer::unreachableServers() const
 {
-    return serversThat(&server_state::isUnreachable);
+    return serversWithFlag(&server_state::isUnreachable);
 }
 
-double load_board::poolFailureShare(std::string_view service) const
+double load_balancer::poolFailureShare(std::string_view service) const
 {
     double sum = 0;
     int count = 0;
@@ -431,7 +440,7 @@
     return count > 0 ? sum / count : 0;
 }
 
-void load_board::end(timestamp now, std::uint64_t ticket, work_outcome outcome)
+void load_balancer::end(timestamp now, std::uint64_t ticket, attempt_outcome outcome)
 {
     const auto found = m_tickets.find(ticket);
     if (found == m_tickets.end())
@@ -446,52 +455,52 @@
     target.own.memoryTokens -= state.memoryTokens;
     if (!state.hasStarted)
         target.own.pendingTokens -= state.pendingTokens;
-    if (outcome == work_outcome::Abandoned || outcome == work_outcome::Rejected)
+    if (outcome == attempt_outcome::Abandoned || outcome == attempt_outcome::Rejected)
         return;
-    const bool isFailure = outcome != work_outcome::Done;
+    const bool isFailure = outcome != attempt_outcome::Done;
     target.failureShare =
         target.failureShare * (1 - outcomeWeight) + (isFailure ? outcomeWeight : 0);
     if (!isFailure) {
-        target.lostInARow = 0;
-        if (target.suspicions > 0 && target.failureShare < suspectShare / 2)
-            target.suspicions -= 1;
+        target.consecutiveLosses = 0;
+        if (target.suspicionCount > 0 && target.failureShare < suspectShare / 2)
+            target.suspicionCount -= 1;
         if (!state.isModel) {
             const double measured = toSeconds(now - state.startedAt) * 1000;
             target.callMs = target.callMs > 0
-                ? target.callMs * (1 - speedWeight) + measured * speedWeight
+                ? target.callMs * (1 - latencyWeight) + measured * latencyWeight
                 : measured;
         }
         return;
     }
-    // A server that lives never refuses a connection, so one is enough.
-    target.lostInARow += outcome == work_outcome::Unreachable ? lossesToSuspect
-        : outcome == work_outcome::Lost                       ? 1
-                                                              : 0;
-    const bool isWorse = target.failureShare > suspectShare
+    // A live server never refuses a connection, so one failed connection is enough.
+    target.consecutiveLosses += outcome == attempt_outcome::Unreachable ? lossesToSuspect
+        : outcome == attempt_outcome::Lost                              ? 1
+                                                                        : 0;
+    const bool isWorseThanPool = target.failureShare > suspectShare
         && poolFailureShare(target.info.service) < target.failureShare / 2;
-    if (outcome == work_outcome::Unreachable) {
+    if (outcome == attempt_outcome::Unreachable) {
         target.isUnreachable = true;
         target.needsProbe = true;
         target.probedAt = now;
     }
-    if (target.lostInARow >= lossesToSuspect || isWorse)
-        suspect(now, target);
+    if (target.consecutiveLosses >= lossesToSuspect || isWorseThanPool)
+        markSuspect(now, target);
 }
 
-void load_board::noteReportedLoad(timestamp now, std::string_view server, int running, int waiting)
+void load_balancer::onLoadReported(timestamp now, std::string_view server, int running, int waiting)
 {
     server_state *state = findServer(server);
     if (state == nullptr)
         return;
-    // What the server counts beyond all that is known stands for instances not heard from.
+    // Requests beyond the known load are attributed to instances that were not heard.
     const server_load known = totalLoad(now, *state);
     const int unknown = running + waiting - known.running - 1;
-    peer_load &rest = state->peers["(unknown)"];
-    rest.at = now;
-    rest.load.running = std::max(0, unknown + rest.load.running) / 2;
+    peer_load &unattributed = state->peers["(unknown)"];
+    unattributed.at = now;
+    unattributed.load.running = std::max(0, unknown + unattributed.load.running) / 2;
 }
 
-std::map<std::string, server_load, std::less<>> load_board::ownLoad() const
+std::map<std::string, server_load, std::less<>> load_balancer::ownLoad() const
 {
     std::map<std::string, server_load, std::less<>> load;
     for (auto it = m_servers.begin(); it != m_servers.end(); ++it) {
@@ -501,8 +510,8 @@
     return load;
 }
 
-void load_board::takePeerLoad(timestamp now, std::string_view peer,
-                              const std::map<std::string, server_load, std::less<>> &load)
+void load_balancer::setPeerLoad(timestamp now, std::string_view peer,
+                                const std::map<std::string, server_load, std::less<>> &load)
 {
     const std::string name(peer);
     for (auto it = m_servers.begin(); it != m_servers.end(); ++it) {
@@ -514,7 +523,7 @@
     }
 }
 
-std::vector<registered_server> load_board::servers() const
+std::vector<registered_server> load_balancer::servers() const
 {
     std::vector<registered_server> all;
     all.reserve(m_servers.size());
--- a/libs/dispatch/src/member_table.cpp
+++ b/libs/dispatch/src/member_table.cpp
@@ -45,10 +45,10 @@
     const auto found = m_members.find(name);
     return found != m_members.end() && !found->second.isLeaving
         && now - found->second.heardAt
-        <= m_options.silence.longest(m_members.size(), found->second.period);
+        <= m_options.reportTimeout.timeout(m_members.size(), found->second.period);
 }
 
-endpoint member_table::peersOf(std::string_view name) const
+endpoint member_table::peerAddress(std::string_view name) const
 {
     const auto found = m_members.find(name);
     return found == m_members.end() ? endpoint {} : found->second.entry.peers;
@@ -66,33 +66,34 @@
 
 std::vector<report_target> member_table::reportTargets(timestamp now, std::uint64_t sequence) const
 {
-    const bool crossesOnce = isLarge();
+    const bool usesForwarding = isLarge();
     std::vector<report_target> targets;
-    std::map<std::string_view, std::vector<const member_state *>> farZones;
-    std::size_t place = 0;
+    std::map<std::string_view, std::vector<const member_state *>> otherZones;
+    std::size_t ownIndex = 0;
     for (auto it = m_members.begin(); it != m_members.end(); ++it) {
         const member_entry &entry = it->second.entry;
         if (it->first == m_options.self)
-            place = static_cast<std::size_t>(std::distance(m_members.begin(), it));
-        else if (crossesOnce && entry.zone != m_options.zone)
-            farZones[entry.zone].push_back(&it->second);
+            ownIndex = static_cast<std::size_t>(std::distance(m_members.begin(), it));
+        else if (usesForwarding && entry.zone != m_options.zone)
+            otherZones[entry.zone].push_back(&it->second);
         else
             targets.push_back({.to = entry.peers});
     }
-    for (auto it = farZones.begin(); it != farZones.end(); ++it) {
+    for (auto it = otherZones.begin(); it != otherZones.end(); ++it) {
         std::vector<const member_state *> live;
         std::copy_if(it->second.begin(), it->second.end(), std::back_inserter(live),
                      [&](const member_state *each) { return isAlive(now, each->entry.name); });
-        // A zone that seems lost is tried all the same: it would not be found again otherwise.
-        const std::vector<const member_state *> &chosenFrom = live.empty() ? it->second : live;
-        // Each instance begins elsewhere: reports of one moment are spread over the receivers.
-        const member_state &chosen = *chosenFrom[(place + sequence) % chosenFrom.size()];
-        targets.push_back({.to = chosen.entry.peers, .isPassedOn = it->second.size() > 1});
+        // A zone without live instances still gets reports; otherwise it could never be
+        // rediscovered.
+        const std::vector<const member_state *> &candidates = live.empty() ? it->second : live;
+        // Each sender starts at a different receiver, so that concurrent reports are spread.
+        const member_state &chosen = *candidates[(ownIndex + sequence) % candidates.size()];
+        targets.push_back({.to = chosen.entry.peers, .isForwarded = it->second.size() > 1});
     }
     return targets;
 }
 
-std::vector<endpoint> member_table::passOnTargets(std::string_view from) const
+std::vector<endpoint> member_table::forwardTargets(std::string_view from) const
 {
     std::vector<endpoint> targets;
     for (auto it = m_members.begin(); it != m_members.end(); ++it) {
@@ -103,7 +104,7 @@
     return targets;
 }
 
-std::size_t member_table::liveOthers(timestamp now) const
+std::size_t member_table::liveOtherCount(timestamp now) const
 {
     std::size_t count = 0;
     for (auto it = m_members.begin(); it != m_members.end(); ++it)
@@ -111,7 +112,7 @@
     return count;
 }
 
-bool member_table::listsSelf() const { return m_members.contains(m_options.self); }
+bool member_table::isSelfListed() const { return m_members.contains(m_options.self); }
 
 int member_table::rank(timestamp now) const
 {
@@ -126,18 +127,18 @@
     const auto found = m_members.find(name);
     return found != m_members.end()
         && now - found->second.heardAt
-        <= m_options.holderSilence + m_options.silence.growth(m_members.size())
+        <= m_options.holderTimeout + m_options.reportTimeout.growth(m_members.size())
         && found->second.dutyEpoch == epoch && epoch != 0;
 }
 
-bool member_table::hearsHolder(timestamp now) const
+bool member_table::isHolderHeard(timestamp now) const
 {
     return std::any_of(m_members.begin(), m_members.end(), [&](const auto &each) {
         return holdsDuty(now, each.first, each.second.dutyEpoch);
     });
 }
 
-bool member_table::heardDuty(std::string_view name, std::uint64_t epoch) const
+bool member_table::reportedDuty(std::string_view name, std::uint64_t epoch) const
 {
     const auto found = m_members.find(name);
     return found != m_members.end() && found->second.dutyEpoch == epoch && epoch != 0;
@@ -145,7 +146,7 @@
 
 std::vector<endpoint> member_table::entry(timestamp now, std::string_view zone, bool isSelfUsable)
 {
-    std::vector<const member_state *> near;
+    std::vector<const member_state *> inZone;
     std::vector<const member_state *> all;
     for (auto it = m_members.begin(); it != m_members.end(); ++it) {
         const bool isUsable = it->first == m_options.self ? isSelfUsable : isAlive(now, it->first);
@@ -153,19 +154,19 @@
             continue;
         all.push_back(&it->second);
         if (it->second.entry.zone == zone)
-            near.push_back(&it->second);
+            inZone.push_back(&it->second);
     }
     std::vector<endpoint> addresses;
-    for (const member_state *each :
-         largeOnes(now, near.size() >= m_options.leastInZone ? std::move(near) : std::move(all)))
+    for (const member_state *each : preferLarge(
+             now, inZone.size() >= m_options.minInZone ? std::move(inZone) : std::move(all)))
         addresses.push_back(each->entry.callers);
-    if (addresses.size() > m_options.mostNamed)
-        addresses.resize(m_options.mostNamed);
+    if (addresses.size() > m_options.maxEntryInstances)
+        addresses.resize(m_options.maxEntryInstances);
     return addresses;
 }
 
 std::vector<const member_table::member_state *>
-member_table::largeOnes(timestamp now, std::vector<const member_state *> usable)
+member_table::preferLarge(timestamp now, std::vector<const member_state *> usable)
 {
     double largest = 0;
     for (const member_state *each : usable)
@@ -173,14 +174,14 @@
     std::vector<const member_state *> large;
     duration delays {};
     for (const member_state *each : usable) {
-        if (each->entry.capacity < largest * m_options.largeShare)
+        if (each->entry.capacity < largest * m_options.minCapacityShare)
             continue;
         large.push_back(each);
         delays += each->delay;
     }
-    if (large.size() < m_options.leastInZone)
+    if (large.size() < m_options.minInZone)
         return usable;
-    if (delays / static_cast<int>(large.size()) > m_options.mostDelay)
+    if (delays / static_cast<int>(large.size()) > m_options.maxDelay)
         m_spreadUntil = now + m_options.spreadTime;
     return now < m_spreadUntil ? usable : large;
 }
@@ -194,8 +195,8 @@
 
 double capacityOf(double cores, double linkMbps)
 {
-    // A request with a long prompt takes about a millisecond of a core and twenty kilobytes each
-    // way: four hundred megabits for a core's worth.
+    // A request with a long prompt takes about 1 ms of a core and 20 kB in each direction, so a
+    // fully used core needs about 400 Mbit/s.
     constexpr double mbpsPerCore = 400;
     return linkMbps > 0 ? std::min(cores, linkMbps / mbpsPerCore) : cores;
 }
--- a/libs/dispatch/src/peer_report.cpp
+++ b/libs/dispatch/src/peer_report.cpp
@@ -11,8 +11,8 @@
 
 namespace {
 
-/// Whole numbers below this are exact as doubles and are written without a fraction.
-constexpr double largestWhole = 9e15;
+/// Integers below this are exact as doubles and are written without a fraction.
+constexpr double maxExactInteger = 9e15;
 
 template <typename Number>
 Json::Value numbersToJson(const std::map<std::string, Number, std::less<>> &numbers)
@@ -20,16 +20,16 @@
     Json::Value value(Json::objectValue);
     for (auto it = numbers.begin(); it != numbers.end(); ++it) {
         const double number = static_cast<double>(it->second);
-        const bool isWhole = std::trunc(number) == number && std::abs(number) < largestWhole;
+        const bool isWhole = std::trunc(number) == number && std::abs(number) < maxExactInteger;
         value[it->first] =
             isWhole ? Json::Value(static_cast<Json::Int64>(number)) : Json::Value(number);
     }
     return value;
 }
 
-/// Adds @p content unless it is empty: reports go to every instance several times a second, over
-/// links of ten megabits.
-void addFilled(Json::Value &value, const char *name, Json::Value content)
+/// Adds @p content unless it is empty. Keeps reports small: they go to every instance several times
+/// a second, over links of 10 Mbit/s.
+void addNonEmpty(Json::Value &value, const char *name, Json::Value content)
 {
     if (!content.empty())
         value[name] = std::move(content);
@@ -56,15 +56,15 @@
     return value;
 }
 
-Json::Value placedToJson(const std::vector<placed_parts> &placed)
+Json::Value placedToJson(const std::vector<cache_placement> &placed)
 {
     Json::Value list(Json::arrayValue);
-    for (const placed_parts &each : placed) {
+    for (const cache_placement &each : placed) {
         Json::Value entry(Json::arrayValue);
         entry.append(each.server);
         entry.append(each.store);
-        entry.append(each.isKept);
-        entry.append(Json::UInt64(each.storeMs * storeTimeUnitsPerMs));
+        entry.append(each.isStored);
+        entry.append(Json::UInt64(each.storeTransferMs * storeTimeUnitsPerMs));
         for (const std::uint64_t part : each.parts)
             entry.append(Json::UInt64(part));
         list.append(entry);
@@ -88,10 +88,10 @@
     return list;
 }
 
-Json::Value crashesToJson(const std::vector<crash_note> &crashes)
+Json::Value crashesToJson(const std::vector<crash_record> &crashes)
 {
     Json::Value list(Json::arrayValue);
-    for (const crash_note &each : crashes) {
+    for (const crash_record &each : crashes) {
         Json::Value entry(Json::arrayValue);
         entry.append(toHex(each.request));
         entry.append(each.event);
@@ -129,24 +129,24 @@
     value["period_ms"] = Json::Int64(std::lround(report.periodMs));
     if (report.delayMs > 0)
         value["delay_ms"] = Json::Int64(std::lround(report.delayMs));
-    addFilled(value, "revisions", numbersToJson(report.revisions));
-    addFilled(value, "load", loadToJson(report.load));
-    addFilled(value, "admitted", numbersToJson(report.admitted));
-    addFilled(value, "asked_rates", numbersToJson(report.askedRates));
-    addFilled(value, "levels", numbersToJson(report.levels));
-    addFilled(value, "placed", placedToJson(report.placed));
-    addFilled(value, "crashes", crashesToJson(report.crashes));
-    addFilled(value, "loading", namesToJson(report.loading));
-    addFilled(value, "gone", namesToJson(report.gone));
-    addFilled(value, "unreachable", namesToJson(report.unreachable));
-    addFilled(value, "weights", numbersToJson(report.weights));
-    addFilled(value, "named_age_ms", numbersToJson(report.namedAgeMs));
+    addNonEmpty(value, "revisions", numbersToJson(report.revisions));
+    addNonEmpty(value, "load", loadToJson(report.load));
+    addNonEmpty(value, "admitted", numbersToJson(report.admitted));
+    addNonEmpty(value, "asked_rates", numbersToJson(report.askedRates));
+    addNonEmpty(value, "levels", numbersToJson(report.levels));
+    addNonEmpty(value, "placed", placedToJson(report.placed));
+    addNonEmpty(value, "crashes", crashesToJson(report.crashes));
+    addNonEmpty(value, "loading", namesToJson(report.loading));
+    addNonEmpty(value, "gone", namesToJson(report.gone));
+    addNonEmpty(value, "unreachable", namesToJson(report.unreachable));
+    addNonEmpty(value, "weights", numbersToJson(report.weights));
+    addNonEmpty(value, "named_age_ms", numbersToJson(report.namedAgeMs));
     if (report.dutyEpoch != 0)
         value["duty_epoch"] = Json::UInt64(report.dutyEpoch);
     if (report.storeHeardAgoMs)
         value["store_heard_ago_ms"] = Json::UInt64(*report.storeHeardAgoMs);
-    addFilled(value, "stores", numbersToJson(report.storeEpochs));
-    addFilled(value, "releases", releasesToJson(report.releases));
+    addNonEmpty(value, "stores", numbersToJson(report.storeEpochs));
+    addNonEmpty(value, "releases", releasesToJson(report.releases));
     return writeJson(value);
 }
 
--- a/libs/dispatch/src/release_shares.cpp
+++ b/libs/dispatch/src/release_shares.cpp
@@ -76,8 +76,8 @@
     const double age = toSeconds(now - state.seenAt);
     const double whole = toSeconds(state.request->time);
     const bool isTried =
-        state.outcomes.total(state.request->release).requests >= m_options.leastRequests;
-    return age >= whole * m_options.moveAt && isTried ? 1 : m_options.trialShare;
+        state.outcomes.total(state.request->release).requests >= m_options.minRequests;
+    return age >= whole * m_options.moveAt && isTried ? 1 : m_options.canaryShare;
 }
 
 bool release_shares::allows(timestamp now, std::string_view service, std::string_view release,
--- a/libs/dispatch/src/report_format.h
+++ b/libs/dispatch/src/report_format.h
@@ -2,7 +2,7 @@
 
 namespace trefoil {
 
-/// Times of a store's link in reports are whole numbers, this many to a millisecond.
+/// Reports hold transfer times of KV-cache stores as integers with this many units per millisecond.
 inline constexpr double storeTimeUnitsPerMs = 10;
 
 } // namespace trefoil
--- a/libs/dispatch/src/report_reader.cpp
+++ b/libs/dispatch/src/report_reader.cpp
@@ -1,5 +1,6 @@
-// Reading reports: an instance of a large fleet reads some two hundred a second, which took a fifth
-// of a small machine's processor time with a reader that builds a tree of values.
+// Parsing of reports, with simdjson: an instance of a large fleet parses about 200 reports a
+// second, which took a fifth of a small machine's CPU time with a parser that builds a tree of
+// values.
 
 #include <simdjson.h>
 
@@ -15,7 +16,7 @@
 using value_list = simdjson::dom::array;
 using value_fields = simdjson::dom::object;
 
-/// Returns @p from as a @p Wanted, or nothing where it is of another type.
+/// Returns @p from as a @p Wanted, or nothing if it has another type.
 template <typename Wanted, typename From>
 std::optional<Wanted> as(const From &from)
 {
@@ -25,12 +26,12 @@
     return read;
 }
 
-std::string textOf(const value_fields &fields, std::string_view name)
+std::string textField(const value_fields &fields, std::string_view name)
 {
     return std::string(as<std::string_view>(fields[name]).value_or(std::string_view {}));
 }
 
-std::uint64_t integerOf(const value_fields &fields, std::string_view name)
+std::uint64_t integerField(const value_fields &fields, std::string_view name)
 {
     return as<std::uint64_t>(fields[name]).value_or(0);
 }
@@ -49,7 +50,7 @@
     }
 }
 
-/// Calls @p use with each item of list @p name that is a @p Item; others are passed over.
+/// Calls @p use with each item of list @p name that is an @p Item; other items are skipped.
 template <typename Item, typename Use>
 void forEach(const value_fields &fields, std::string_view name, Use &&use)
 {
@@ -94,18 +95,19 @@
     forEach<value_list>(fields, "placed", [&report](const value_list &items) {
         const std::optional<std::string_view> server = as<std::string_view>(items.at(0));
         const std::optional<std::string_view> store = as<std::string_view>(items.at(1));
-        const std::optional<bool> isKept = as<bool>(items.at(2));
+        const std::optional<bool> isStored = as<bool>(items.at(2));
         const std::optional<std::uint64_t> storeTime = as<std::uint64_t>(items.at(lastField));
-        if (!server || !store || !isKept || !storeTime)
+        if (!server || !store || !isStored || !storeTime)
             return;
-        placed_parts placed {.server = std::string(*server),
-                             .store = std::string(*store),
-                             .isKept = *isKept,
-                             .storeMs = static_cast<double>(*storeTime) / storeTimeUnitsPerMs};
-        std::size_t place = 0;
+        cache_placement placed {.server = std::string(*server),
+                                .store = std::string(*store),
+                                .isStored = *isStored,
+                                .storeTransferMs =
+                                    static_cast<double>(*storeTime) / storeTimeUnitsPerMs};
+        std::size_t index = 0;
         for (const value item : items) {
             const std::optional<std::uint64_t> part = as<std::uint64_t>(item);
-            if (place++ > lastField && part)
+            if (index++ > lastField && part)
                 placed.parts.push_back(*part);
         }
         report.placed.push_back(std::move(placed));
@@ -115,12 +117,12 @@
 void readReleases(const value_fields &fields, peer_report &report)
 {
     forEach<value_fields>(fields, "releases", [&report](const value_fields &outcome) {
-        report.releases.push_back({.service = textOf(outcome, "service"),
-                                   .release = textOf(outcome, "release"),
-                                   .route = textOf(outcome, "route"),
-                                   .counts = {.requests = integerOf(outcome, "requests"),
-                                              .failures = integerOf(outcome, "failures"),
-                                              .slow = integerOf(outcome, "slow")}});
+        report.releases.push_back({.service = textField(outcome, "service"),
+                                   .release = textField(outcome, "release"),
+                                   .route = textField(outcome, "route"),
+                                   .counts = {.requests = integerField(outcome, "requests"),
+                                              .failures = integerField(outcome, "failures"),
+                                              .slow = integerField(outcome, "slow")}});
     });
 }
 
@@ -129,7 +131,7 @@
     forEach<value_list>(fields, "crashes", [&report](const value_list &items) {
         const std::optional<std::string_view> request = as<std::string_view>(items.at(0));
         const std::optional<std::string_view> event = as<std::string_view>(items.at(1));
-        crash_note note;
+        crash_record note;
         if (!request || !event || !fromHex(*request, note.request))
             return;
         note.event = std::string(*event);
@@ -139,7 +141,7 @@
 
 } // namespace
 
-std::optional<peer_report> peerReportFromText(std::string_view text)
+std::optional<peer_report> parsePeerReport(std::string_view text)
 {
     simdjson::dom::parser parser;
     const std::optional<value_fields> found =
@@ -147,14 +149,14 @@
     if (!found)
         return std::nullopt;
     const value_fields &fields = *found;
-    peer_report report {.from = textOf(fields, "from"),
-                        .incarnation = integerOf(fields, "incarnation"),
-                        .sequence = integerOf(fields, "sequence"),
+    peer_report report {.from = textField(fields, "from"),
+                        .incarnation = integerField(fields, "incarnation"),
+                        .sequence = integerField(fields, "sequence"),
                         .isLeaving = as<bool>(fields["leaving"]).value_or(false),
                         .periodMs = as<double>(fields["period_ms"]).value_or(0),
                         .delayMs = as<double>(fields["delay_ms"]).value_or(0),
                         .storeHeardAgoMs = as<std::uint64_t>(fields["store_heard_ago_ms"]),
-                        .dutyEpoch = integerOf(fields, "duty_epoch")};
+                        .dutyEpoch = integerField(fields, "duty_epoch")};
     if (report.from.empty())
         return std::nullopt;
     readNumbers(fields, "revisions", report.revisions);
--- /dev/null
+++ b/libs/dispatch/src/server_selection.cpp
@@ -0,0 +1,309 @@
+// Server selection of load_balancer: estimates the cost of a request on each server.
+
+#include <algorithm>
+#include <limits>
+
+#include <dispatch/load_balancer.h>
+
+#include "cached_parts.h"
+
+namespace trefoil {
+
+namespace {
+
+/// A part used on an engine within this time is still cached: engine memory turns over in seconds.
+constexpr duration recentUseWindow = std::chrono::milliseconds(1500);
+/// Factor by which a copy between zones takes longer than one within a zone.
+constexpr double crossZoneCopyFactor = 2;
+/// Time in milliseconds to set up a copy.
+constexpr double copySetupMs = 4;
+/// Cost in milliseconds of exceeding an engine's memory or slots by its full capacity.
+constexpr double overloadCostMs = 1500;
+/// Converts megabits per second to bits per millisecond.
+constexpr double bitsPerMsPerMbps = 1000;
+constexpr double bitsPerByte = 8;
+
+} // namespace
+
+bool load_balancer::mayTake(timestamp now, const server_state &state,
+                            const request_profile &request)
+{
+    const registered_server &info = state.info;
+    if (info.service != request.service || info.isLeaving || state.isGone)
+        return false;
+    const std::span<const std::string> excluded = request.excludedReleases;
+    if (std::find(excluded.begin(), excluded.end(), info.release) != excluded.end())
+        return false;
+    if (now < state.loadingUntil)
+        return false;
+    return std::find(request.tried.begin(), request.tried.end(), info.id) == request.tried.end();
+}
+
+double load_balancer::staleWeightsCost(timestamp now, const server_state &state,
+                                       const request_profile &request) const
+{
+    const auto announced = m_announced.find(request.model);
+    if (announced == m_announced.end())
+        return 0;
+    const std::uint64_t version = weightsOf(state, request.model);
+    // The limit counts from the first newer version, even if more have been announced since.
+    const auto newer = announced->second.upper_bound(version);
+    if (newer == announced->second.end() || now - newer->second < m_options.staleWeightsDelay)
+        return 0;
+    return now - newer->second < m_options.staleWeightsLimit
+        ? m_options.staleWeightsCostMs
+        : std::numeric_limits<double>::infinity();
+}
+
+const std::vector<load_balancer::part_holder> &load_balancer::holdersOf(timestamp now,
+                                                                        std::uint64_t part) const
+{
+    const auto known = m_holders.find(part);
+    if (known != m_holders.end())
+        return known->second;
+    std::vector<part_holder> &holders = m_holders[part];
+    for (auto it = m_servers.begin(); it != m_servers.end(); ++it) {
+        const server_state &state = it->second;
+        const bool isUsable =
+            !state.isGone && now >= state.loadingUntil && now >= state.suspectUntil;
+        const auto held = state.parts.find(part);
+        if (isUsable && held != state.parts.end() && now - held->second < cachedPartLifetime)
+            holders.push_back({.state = &state, .lastUse = held->second});
+    }
+    return holders;
+}
+
+load_balancer::part_source load_balancer::findSource(timestamp now, const server_state &target,
+                                                     std::uint64_t part,
+                                                     const prompt_affinity &affinity) const
+{
+    const server_state *best = nullptr;
+    timestamp bestUse {};
+    for (const part_holder &holder : holdersOf(now, part)) {
+        if (holder.state == &target)
+            continue;
+        const bool isSameZone = holder.state->info.zone == target.info.zone;
+        const bool isBestSameZone = best != nullptr && best->info.zone == target.info.zone;
+        if (best == nullptr || (isSameZone && !isBestSameZone)
+            || (isSameZone == isBestSameZone && holder.lastUse > bestUse)) {
+            best = holder.state;
+            bestUse = holder.lastUse;
+        }
+    }
+    // An engine may have evicted a part that the store still holds, and computing the part again
+    // costs far more than copying it from the store, even while the store's link is busy. A part
+    // that an engine has just used is certainly still there.
+    const bool isInStore =
+        affinity.store != nullptr && isLikelyCached(affinity.store->parts, part, now);
+    if (isInStore && (best == nullptr || now - bestUse > recentUseWindow))
+        return {.store = affinity.store};
+    return {.engine = best};
+}
+
+double load_balancer::copyMs(const part_source &source, const server_state &target, double tokens,
+                             const engine_traits &engine) const
+{
+    if (tokens <= 0 || engine.linkMbps <= 0)
+        return 0;
+    const double ownMbps = source.store != nullptr ? source.store->info.linkMbps : 0;
+    const double mbps = ownMbps > 0 ? std::min(ownMbps, engine.linkMbps) : engine.linkMbps;
+    const std::string &zone =
+        source.store != nullptr ? source.store->info.zone : source.engine->info.zone;
+    const double ms = tokens * engine.bytesPerToken * bitsPerByte / (mbps * bitsPerMsPerMbps);
+    return zone == target.info.zone ? ms : ms * crossZoneCopyFactor;
+}
+
+void load_balancer::estimateEngine(timestamp now, const server_state &state,
+                                   const request_profile &request, const engine_traits &engine,
+                                   const prompt_affinity &affinity, server_placement &placed) const
+{
+    placed.weights = weightsOf(state, request.model);
+    placed.cacheName = cacheNameOf(request.model, placed.weights, request.isolatedTeam);
+    double copiedTokens = 0;
+    bool isHeld = true;
+    bool isStored = true;
+    double sharedTokens = 0;
+    part_source copySource;
+    placed.memoryTokens = request.outputTokens;
+    for (std::size_t i = 0; i < request.prompt.size(); ++i) {
+        const prompt_part &part = request.prompt[i];
+        const bool isPrivate = i + 1 == request.prompt.size();
+        const std::uint64_t key = cachedPartKey(placed.cacheName, part.id);
+        sharedTokens += isPrivate ? 0 : part.tokens;
+        isHeld = isHeld && !isPrivate && isLikelyCached(state.parts, key, now);
+        if (isHeld)
+            continue;
+        placed.memoryTokens += part.tokens;
+        if (isPrivate) {
+            placed.missingTokens += part.tokens;
+            continue;
+        }
+        isStored = isStored && affinity.store != nullptr
+            && isLikelyCached(affinity.store->parts, key, now);
+        const part_source source = findSource(now, state, key, affinity);
+        const bool isFound = source.store != nullptr || source.engine != nullptr;
+        if (isFound)
+            copySource = source;
+        (isFound ? copiedTokens : placed.missingTokens) += part.tokens;
+    }
+    double copyTimeMs = 0;
+    if (copiedTokens > 0) {
+        copyTimeMs = copySetupMs + copyMs(copySource, state, copiedTokens, engine);
+        if (copySource.store != nullptr) {
+            placed.storeTransferMs = copyTimeMs - copySetupMs;
+            copyTimeMs += affinity.storeWaitMs;
+        }
+    } else if (request.prompt.size() > 1) {
+        // The engine may have evicted parts that it is assumed to hold, and the store may hold
+        // parts that this instance doesn't know of. A miss costs only a millisecond.
+        const std::uint64_t lastShared =
+            cachedPartKey(placed.cacheName, request.prompt[request.prompt.size() - 2].id);
+        copySource = findSource(now, state, lastShared, affinity);
+        if (copySource.engine == nullptr)
+            copySource.store = affinity.store;
+    }
+    if (copySource.store != nullptr)
+        placed.cacheSource = copySource.store->info.address;
+    else if (copySource.engine != nullptr)
+        placed.cacheSource = copySource.engine->info.address;
+    if (affinity.store != nullptr && !isStored) {
+        placed.cacheSink = affinity.store->info.address;
+        placed.storeTransferMs += copyMs({.store = affinity.store}, state, sharedTokens, engine);
+    }
+    if (placed.storeTransferMs > 0)
+        placed.transferStore = affinity.store->name;
+    const server_load load = totalLoad(now, state);
+    const double prefillMs =
+        (load.pendingTokens + placed.missingTokens) / m_options.prefillTokensPerMs;
+    placed.expectedMs = (m_options.baseFirstEventMs + prefillMs) * state.slowness + copyTimeMs;
+    const double usableTokens = engine.memoryTokens * m_options.memoryShare;
+    const double excessTokens = load.memoryTokens + placed.memoryTokens - usableTokens;
+    if (excessTokens > 0 && engine.memoryTokens > 0)
+        placed.expectedMs += overloadCostMs * excessTokens / engine.memoryTokens;
+    if (load.running >= engine.slots)
+        placed.expectedMs += overloadCostMs * (load.running - engine.slots + 1) / engine.slots;
+}
+
+const load_balancer::store_state *load_balancer::assignedStore(std::uint64_t prefixHash) const
+{
+    const store_state *best = nullptr;
+    std::uint64_t bestRank = 0;
+    for (const store_state &store : m_stores) {
+        const std::uint64_t rank = hash64(store.name, prefixHash);
+        if (best == nullptr || rank > bestRank) {
+            best = &store;
+            bestRank = rank;
+        }
+    }
+    return best;
+}
+
+load_balancer::prompt_affinity load_balancer::affinityOf(timestamp now,
+                                                         const request_profile &request) const
+{
+    constexpr std::size_t minPartsWithShared = 2;
+    if (request.prompt.size() < minPartsWithShared)
+        return {};
+    const std::uint64_t prefixHash =
+        hash64(request.prompt[request.prompt.size() - minPartsWithShared].id);
+    const store_state *store = assignedStore(prefixHash);
+    prompt_affinity affinity {.home = homeServerOf(request, prefixHash, store)};
+    if (store != nullptr && store->isReachable) {
+        affinity.store = store;
+        affinity.storeWaitMs = std::max(0.0, toSeconds(store->busyUntil - now) * 1000);
+    }
+    return affinity;
+}
+
+std::string load_balancer::homeServerOf(const request_profile &request, std::uint64_t prefixHash,
+                                        const store_state *store) const
+{
+    // With a single store, each zone has its own home server. With several stores, the home server
+    // is in the zone of the store: copies of all parts in all zones would not fit.
+    const bool hasStorePerZone = m_stores.size() > 1;
+    const std::string &zone = hasStorePerZone ? store->info.zone : m_options.zone;
+    std::string best;
+    std::uint64_t bestRank = 0;
+    for (auto it = m_servers.begin(); it != m_servers.end(); ++it) {
+        const registered_server &info = it->second.info;
+        if (info.service != request.service || info.isLeaving || info.zone != zone)
+            continue;
+        const std::uint64_t rank = hash64(info.id, prefixHash);
+        if (best.empty() || rank > bestRank) {
+            best = info.id;
+            bestRank = rank;
+        }
+    }
+    return best;
+}
+
+std::optional<server_placement> load_balancer::choose(timestamp now, const request_profile &request)
+{
+    std::optional<server_placement> best = chooseAmong(now, request, false);
+    // If no server is reachable, wrong reachability data is more likely than the loss of all
+    // servers.
+    return best ? best : chooseAmong(now, request, true);
+}
+
+server_placement load_balancer::estimate(timestamp now, const server_state &state,
+                                         const request_profile &request,
+                                         const engine_traits *engine,
+                                         const prompt_affinity &affinity) const
+{
+    server_placement placed {.server = state.info.id,
+                             .address = state.info.address,
+                             .zone = state.info.zone,
+                             .release = state.info.release};
+    if (engine != nullptr) {
+        estimateEngine(now, state, request, *engine, affinity, placed);
+        return placed;
+    }
+    const double callMs = state.callMs > 0 ? state.callMs : m_options.defaultCallMs;
+    const int running = totalLoad(now, state).running;
+    placed.expectedMs = callMs * (1 + static_cast<double>(running) / std::max(1, state.info.slots));
+    return placed;
+}
+
+double load_balancer::costOf(timestamp now, const server_state &state,
+                             const request_profile &request, const server_placement &placed,
+                             std::string_view home) const
+{
+    const bool isEngine = !placed.cacheName.empty();
+    double cost = placed.expectedMs;
+    if (isEngine)
+        cost += staleWeightsCost(now, state, request)
+            + (home == state.info.id ? 0 : m_options.nonHomeCostMs);
+    if (state.info.zone != m_options.zone)
+        cost += isEngine ? m_options.crossZoneCostMs : m_options.crossZoneCallCostMs;
+    if (now < state.suspectUntil)
+        cost += m_options.suspectCostMs;
+    return cost;
+}
+
+std::optional<server_placement>
+load_balancer::chooseAmong(timestamp now, const request_profile &request, bool isLastResort)
+{
+    const auto found = m_engines.find(request.service);
+    const bool isEngine = found != m_engines.end() && !request.model.empty();
+    const engine_traits *engine = isEngine ? &found->second : nullptr;
+    m_holders.clear();
+    const prompt_affinity affinity = isEngine ? affinityOf(now, request) : prompt_affinity {};
+    std::optional<server_placement> best;
+    double bestCost = std::numeric_limits<double>::infinity();
+    // Spreads requests over servers of equal cost by a random fraction of a millisecond.
+    std::uniform_real_distribution<double> tieBreak(0, 1);
+    for (auto it = m_servers.begin(); it != m_servers.end(); ++it) {
+        const server_state &state = it->second;
+        if (!mayTake(now, state, request) || (state.isUnreachable && !isLastResort))
+            continue;
+        server_placement placed = estimate(now, state, request, engine, affinity);
+        const double cost = costOf(now, state, request, placed, affinity.home) + tieBreak(m_random);
+        if (cost < bestCost) {
+            bestCost = cost;
+            best = std::move(placed);
+        }
+    }
+    return best;
+}
+
+} // namespace trefoil
--- a/libs/dispatch/src/team_limits.cpp
+++ b/libs/dispatch/src/team_limits.cpp
@@ -8,19 +8,19 @@
 
 namespace {
 
-/// Seconds of its part of a rate that an instance may save up, and requests of the usual size, so
-/// that callers who come unevenly still get all of a small part.
+/// An instance may save up the larger of this many seconds of its share of the rate and this many
+/// requests of average size, so that uneven arrivals can still use all of a small share.
 constexpr double allowanceSeconds = 0.1;
 constexpr double allowanceRequests = 2;
-/// Part of a rise seen here that is taken to be seen by all: arrivals at one instance come
-/// unevenly.
+/// Fraction of this instance's demand that every instance is assumed to see. Less than 1, because
+/// arrivals at one instance are uneven.
 constexpr double surgeShare = 0.5;
-/// Weight of the newest request in the usual size.
+/// Weight of the newest request in the average size.
 constexpr double sizeWeight = 0.1;
-/// Least part of a rate that a refused caller's wait is worked out with.
-constexpr double leastPart = 0.01;
+/// Minimum share of the rate used to compute a refused caller's wait.
+constexpr double minShare = 0.01;
 
-/// Returns @p rate to a sixteenth, which is exact in binary and short as text.
+/// Rounds @p rate to a sixteenth, which is exact in binary and short as text.
 double rounded(double rate)
 {
     constexpr double steps = 16;
@@ -32,13 +32,14 @@
 void team_limits::setLimit(timestamp now, std::string_view team, double rate, double burst)
 {
     if (m_options.window > duration::zero()) {
-        const double asRate = burst * m_options.burstAsRate;
+        const double asRate = burst * m_options.burstRateShare;
         rate += asRate / toSeconds(m_options.window);
         burst -= asRate;
     }
     const auto found = m_buckets.find(team);
     if (found == m_buckets.end()) {
-        // A fresh instance does not know what others spent: it starts with its share of the burst.
+        // A new instance doesn't know what others have spent and starts with its share of the
+        // burst.
         const double share = burst / static_cast<double>(m_peers.size() + 1);
         m_buckets.emplace(
             std::string(team),
@@ -46,18 +47,18 @@
                 .rate = rate, .burst = burst, .level = share, .filledAt = now, .allowance = share});
         return;
     }
-    bring(now, team, found->second);
+    refill(now, team, found->second);
     found->second.rate = rate;
     found->second.burst = burst;
     found->second.level = std::min(found->second.level, burst);
 }
 
-double team_limits::shareOfSilent(const bucket &account) const
+double team_limits::silentPeerRate(const bucket &account) const
 {
     return account.rate / static_cast<double>(m_peers.size() + 1);
 }
 
-void team_limits::bring(timestamp now, std::string_view team, bucket &account)
+void team_limits::refill(timestamp now, std::string_view team, bucket &account)
 {
     const double elapsed = toSeconds(now - account.filledAt);
     if (elapsed <= 0)
@@ -67,7 +68,7 @@
     for (auto it = m_peers.begin(); it != m_peers.end(); ++it) {
         peer_state &peer = it->second;
         if (isSilent(now, peer)) {
-            spentElsewhere += shareOfSilent(account) * elapsed;
+            spentElsewhere += silentPeerRate(account) * elapsed;
             continue;
         }
         const auto usage = peer.teams.find(team);
@@ -79,35 +80,37 @@
     }
     account.level =
         std::min(account.burst, account.level + account.rate * elapsed - spentElsewhere);
-    account.asked *= std::exp(-elapsed / toSeconds(m_options.askedTime));
-    const double ownRate = account.rate * askedOf(team, account).part();
-    // Little: what is saved up would be spent by all at once.
-    const double most =
+    account.demand *= std::exp(-elapsed / toSeconds(m_options.demandTime));
+    const double ownRate = account.rate * demandOf(team, account).share();
+    // Kept small, because all instances may spend their saved allowances at once.
+    const double maxAllowance =
         std::max({account.allowance, ownRate * allowanceSeconds, account.size * allowanceRequests});
-    account.allowance = std::min(account.allowance + ownRate * elapsed, most);
+    account.allowance = std::min(account.allowance + ownRate * elapsed, maxAllowance);
 }
 
-team_limits::asked_view team_limits::askedOf(std::string_view team, const bucket &account) const
+team_limits::demand_view team_limits::demandOf(std::string_view team, const bucket &account) const
 {
-    asked_view asked {.own = account.asked / toSeconds(m_options.askedTime)};
-    asked.all = asked.own;
+    demand_view demand {.own = account.demand / toSeconds(m_options.demandTime)};
+    demand.all = demand.own;
     for (auto it = m_peers.begin(); it != m_peers.end(); ++it) {
         const auto usage = it->second.teams.find(team);
-        if (usage == it->second.teams.end() || usage->second.askedRate <= 0)
+        if (usage == it->second.teams.end() || usage->second.demandRate <= 0)
             continue;
-        asked.all += usage->second.askedRate;
-        asked.askers += 1;
+        demand.all += usage->second.demandRate;
+        demand.requesters += 1;
     }
-    return asked;
+    return demand;
 }
 
-double team_limits::sharedBelow(const asked_view &asked, const bucket &account) const
+double team_limits::sharingThreshold(const demand_view &demand, const bucket &account) const
 {
-    // The others' figures are a report old: a rise that is seen here is taken to be seen by all.
-    const double excess = std::max(asked.all, asked.own * asked.askers * surgeShare) - account.rate;
+    // The figures of other instances are up to a report period old, so a rise in demand on this
+    // instance is assumed to affect all instances.
+    const double excess =
+        std::max(demand.all, demand.own * demand.requesters * surgeShare) - account.rate;
     const double overshoot = std::max(0.0, excess) * toSeconds(m_options.reportLag);
-    return std::clamp(overshoot, account.burst * m_options.leastSharedLevel,
-                      account.burst * m_options.sharedLevel);
+    return std::clamp(overshoot, account.burst * m_options.minSharedLevel,
+                      account.burst * m_options.maxSharedLevel);
 }
 
 std::optional<duration> team_limits::admit(timestamp now, std::string_view team, double units)
@@ -116,18 +119,18 @@
     if (found == m_buckets.end() || found->second.rate <= 0)
         return std::nullopt;
     bucket &account = found->second;
-    bring(now, team, account);
-    account.asked += units;
+    refill(now, team, account);
+    account.demand += units;
     account.size += (units - account.size) * (account.size > 0 ? sizeWeight : 1);
     if (account.level <= 0)
         return fromSeconds((units - account.level) / account.rate);
-    const asked_view asked = askedOf(team, account);
-    const bool isShared = account.level < sharedBelow(asked, account);
+    const demand_view demand = demandOf(team, account);
+    const bool isShared = account.level < sharingThreshold(demand, account);
     if (isShared && account.allowance <= 0)
         return fromSeconds((units - account.allowance)
-                           / (account.rate * std::max(leastPart, asked.part())));
+                           / (account.rate * std::max(minShare, demand.share())));
     account.level -= units;
-    // What a full bucket gave is nobody's part.
+    // Units admitted above the threshold don't count against the instance's share.
     if (isShared)
         account.allowance -= units;
     const auto total = m_totals.try_emplace(std::string(team), 0).first;
@@ -150,21 +153,23 @@
     std::erase_if(m_peers, [&peers](const auto &each) {
         return std::find(peers.begin(), peers.end(), each.first) == peers.end();
     });
-    // One that was never heard counts as silent from the start.
+    // An instance that was never heard counts as silent from the start.
     for (const std::string &name : peers)
         m_peers.try_emplace(
-            name, peer_state {.heardAt = now - 2 * m_options.silence.longest(m_peers.size())});
+            name,
+            peer_state {.heardAt = now - 2 * m_options.reportTimeout.timeout(m_peers.size())});
 }
 
-void team_limits::takeReport(timestamp now, std::string_view peer, std::uint64_t incarnation,
-                             const admitted_totals &admitted, const admitted_totals &askedRates,
-                             duration period)
+void team_limits::applyReport(timestamp now, std::string_view peer, std::uint64_t incarnation,
+                              const admitted_totals &admitted, const admitted_totals &askedRates,
+                              duration period)
 {
     const auto found = m_peers.find(peer);
     if (found == m_peers.end())
         return;
     peer_state &state = found->second;
-    // Spending while it was silent was taken at its share; what it reports now covers that time.
+    // While the peer was silent, its equal share was deducted. The new totals cover that time and
+    // must not be deducted again.
     const bool wasSilent = isSilent(now, state);
     const double age = toSeconds(now - state.heardAt);
     const bool isKnown = state.incarnation == incarnation;
@@ -174,10 +179,10 @@
             continue;
         peer_usage &usage = state.teams[it->first];
         const double delta = it->second - (isKnown ? usage.total : 0);
-        // Most instances of a large fleet have nothing new for most teams.
+        // Shortcut: in a large fleet, most instances report no change for most teams.
         if (isKnown && !wasSilent && delta == 0 && usage.rate == 0)
             continue;
-        bring(now, it->first, account->second);
+        refill(now, it->first, account->second);
         if (!wasSilent && (isKnown || state.incarnation != 0))
             account->second.level += usage.expected - delta;
         account->second.level = std::min(account->second.level, account->second.burst);
@@ -186,9 +191,9 @@
         usage.expected = 0;
     }
     for (auto it = state.teams.begin(); it != state.teams.end(); ++it)
-        it->second.askedRate = 0;
+        it->second.demandRate = 0;
     for (auto it = askedRates.begin(); it != askedRates.end(); ++it)
-        state.teams[it->first].askedRate = it->second;
+        state.teams[it->first].demandRate = it->second;
     state.incarnation = incarnation;
     state.heardAt = now;
     state.period = period;
@@ -200,7 +205,7 @@
         const auto account = m_buckets.find(it->first);
         if (account == m_buckets.end())
             continue;
-        bring(now, it->first, account->second);
+        refill(now, it->first, account->second);
         account->second.level = std::min(account->second.burst, it->second);
     }
 }
@@ -212,7 +217,7 @@
     if (found != m_buckets.end()) {
         seen.rate = found->second.rate;
         seen.level = found->second.level;
-        seen.part = askedOf(team, found->second).part();
+        seen.share = demandOf(team, found->second).share();
     }
     seen.known = static_cast<int>(m_peers.size());
     for (auto it = m_peers.begin(); it != m_peers.end(); ++it)
@@ -224,9 +229,9 @@
 {
     admitted_totals rates;
     for (auto it = m_buckets.begin(); it != m_buckets.end(); ++it) {
-        bring(now, it->first, it->second);
-        if (it->second.asked >= 1)
-            rates[it->first] = rounded(it->second.asked / toSeconds(m_options.askedTime));
+        refill(now, it->first, it->second);
+        if (it->second.demand >= 1)
+            rates[it->first] = rounded(it->second.demand / toSeconds(m_options.demandTime));
     }
     return rates;
 }
@@ -235,7 +240,7 @@
 {
     admitted_totals all;
     for (auto it = m_buckets.begin(); it != m_buckets.end(); ++it) {
-        bring(now, it->first, it->second);
+        refill(now, it->first, it->second);
         all[it->first] = it->second.level;
     }
     return all;
--- a/libs/dispatch/src/weights_plan.cpp
+++ b/libs/dispatch/src/weights_plan.cpp
@@ -9,7 +9,7 @@
 
 namespace {
 
-/// Returns the model whose weights on @p server are older than @p newest.
+/// Returns a model whose weights on @p server are older than in @p newest, or nothing.
 std::optional<std::string>
 outdatedModel(const registered_server &server,
               const std::map<std::string, std::uint64_t, std::less<>> &newest)
@@ -35,7 +35,7 @@
 {
     progress &state = m_progress[server.id];
     if (state.startedAtMs != server.startedAtMs) {
-        // A restarted server has forgotten its orders.
+        // A restarted server has lost its orders.
         state = progress {.startedAtMs = server.startedAtMs};
     }
     return state;
@@ -44,7 +44,7 @@
 weights_plan::actions weights_plan::next(timestamp now, std::uint64_t epoch, const inputs &known)
 {
     actions due;
-    std::map<std::string, int> atOnce;
+    std::map<std::string, int> loadingCount;
     std::map<std::string, int> poolSize;
     std::vector<const registered_server *> waiting;
     for (const registered_server &server : known.servers) {
@@ -53,38 +53,39 @@
         poolSize[server.service] += server.isLeaving ? 0 : 1;
         progress &state = progressOf(server);
         const std::optional<std::string> model = outdatedModel(server, known.newest);
-        if (state.at != stage::Idle) {
-            // What was ordered may have been superseded meanwhile.
+        if (state.current != stage::Idle) {
+            // The ordered version may have been superseded meanwhile.
             const bool isDone = !model || runsOrdered(server, state.model, state.version);
             const bool isLost = now - state.since > m_options.orderTimeout;
             if (isDone || isLost) {
-                state.at = stage::Idle;
+                state.current = stage::Idle;
                 state.ordersKnown = isDone && state.ordersKnown;
             } else {
-                atOnce[server.service] += 1;
-                if (state.at == stage::Loading && !state.isAsked
-                    && now >= std::max(state.notBefore, state.since + m_options.askAfter)) {
-                    state.isAsked = true;
-                    due.questions.push_back(server);
+                loadingCount[server.service] += 1;
+                if (state.current == stage::Loading && !state.isPolling
+                    && now >= std::max(state.notBefore, state.since + m_options.pollDelay)) {
+                    state.isPolling = true;
+                    due.serversToPoll.push_back(server);
                 }
                 continue;
             }
         }
-        // A leaving server is not worth a load: it gets no new requests.
+        // A leaving server gets no new requests, so it doesn't need new weights.
         if (server.isLeaving || now < state.notBefore || known.unreachable.contains(server.id))
             continue;
-        // Asked ahead of need, so that the first order of new weights goes out at once.
-        if (!state.ordersKnown && !state.isAsked && (model || !state.wasAsked)) {
-            state.isAsked = true;
-            state.wasAsked = true;
-            due.questions.push_back(server);
+        // Polled in advance, so that the first order for new weights can be sent immediately.
+        if (!state.ordersKnown && !state.isPolling && (model || !state.wasPolled)) {
+            state.isPolling = true;
+            state.wasPolled = true;
+            due.serversToPoll.push_back(server);
         }
-        const auto bar = known.barredUntil.find(server.id);
-        if (!model || !state.ordersKnown || (bar != known.barredUntil.end() && now < bar->second))
+        const auto blocked = known.blockedUntil.find(server.id);
+        if (!model || !state.ordersKnown
+            || (blocked != known.blockedUntil.end() && now < blocked->second))
             continue;
         waiting.push_back(&server);
     }
-    // The oldest weights first, because they run out of time; among equals the least loaded.
+    // Oldest weights first, because their time limit ends first; then the least loaded server.
     const auto rank = [&](const registered_server *server) {
         const auto load = known.running.find(server->id);
         const std::string model = *outdatedModel(*server, known.newest);
@@ -96,15 +97,15 @@
                          return rank(left) < rank(right);
                      });
     for (const registered_server *server : waiting) {
-        const int most = std::max(
-            m_options.leastAtOnce,
-            static_cast<int>(std::ceil(poolSize[server->service] * m_options.shareAtOnce)));
-        if (atOnce[server->service] >= most)
+        const int maxLoading = std::max(
+            m_options.minConcurrentLoads,
+            static_cast<int>(std::ceil(poolSize[server->service] * m_options.maxLoadingShare)));
+        if (loadingCount[server->service] >= maxLoading)
             continue;
-        atOnce[server->service] += 1;
+        loadingCount[server->service] += 1;
         const std::string model = *outdatedModel(*server, known.newest);
         progress &state = progressOf(*server);
-        state.at = stage::Ordered;
+        state.current = stage::Ordered;
         state.model = model;
         state.version = known.newest.find(model)->second;
         state.since = now;
@@ -124,15 +125,15 @@
     if (found == m_progress.end())
         return;
     progress &state = found->second;
-    state.isAsked = false;
+    state.isPolling = false;
     if (answer == order_answer::Accepted) {
-        state.at = stage::Loading;
+        state.current = stage::Loading;
         state.since = now;
         state.notBefore = now;
         state.acceptedOrders += 1;
         return;
     }
-    state.at = stage::Idle;
+    state.current = stage::Idle;
     state.ordersKnown = false;
     state.notBefore =
         now + (answer == order_answer::Conflict ? duration::zero() : m_options.retryAfter);
@@ -144,19 +145,19 @@
     if (found == m_progress.end())
         return;
     progress &known = found->second;
-    known.isAsked = false;
-    known.notBefore = now + m_options.askEvery;
+    known.isPolling = false;
+    known.notBefore = now + m_options.pollInterval;
     if (state == nullptr) {
-        // It may have crashed, and its load with it.
-        known.at = stage::Idle;
+        // The server may have crashed and its load of weights been lost.
+        known.current = stage::Idle;
         known.ordersKnown = false;
         known.notBefore = now + m_options.retryAfter;
         return;
     }
     known.acceptedOrders = state->acceptedOrders;
     known.ordersKnown = true;
-    if (known.at == stage::Idle) {
-        known.notBefore = state->isBusy ? now + m_options.askEvery : now;
+    if (known.current == stage::Idle) {
+        known.notBefore = state->isBusy ? now + m_options.pollInterval : now;
         known.ordersKnown = !state->isBusy;
     }
 }
@@ -165,7 +166,7 @@
 {
     std::vector<std::string> names;
     for (auto it = m_progress.begin(); it != m_progress.end(); ++it) {
-        if (it->second.at != stage::Idle)
+        if (it->second.current != stage::Idle)
             names.push_back(it->first);
     }
     return names;
--- a/libs/dispatch/tests/duty_lease_test.cpp
+++ b/libs/dispatch/tests/duty_lease_test.cpp
@@ -12,9 +12,9 @@
 
 constexpr duration stepTime = std::chrono::milliseconds(50);
 
-duty_lease_options optionsOf(const char *name) { return {.self = name}; }
+duty_lease_options makeOptions(const char *name) { return {.self = name}; }
 
-/// The store's object, and writes that are carried out late.
+/// Fake store with one object and conditional writes.
 struct fake_store
 {
     std::optional<duty_record> record;
@@ -31,7 +31,7 @@
 
 struct candidate
 {
-    explicit candidate(const char *name) : lease(optionsOf(name)) { }
+    explicit candidate(const char *name) : lease(makeOptions(name)) { }
 
     duty_lease lease;
     bool isDown = false;
@@ -39,20 +39,21 @@
     bool hasActed = false;
 };
 
-/// Lets one candidate make its next call to the store. @p loses tells that the answer is lost.
+/// Makes the next store call of one candidate. With @p isStoreDown the store can't be reached; with
+/// @p isAnswerLost the answer to a write is lost.
 void stepCandidate(timestamp now, candidate &each, int rank, bool isHolderAlive, fake_store &store,
-                   bool isOut, bool loses)
+                   bool isStoreDown, bool isAnswerLost)
 {
     const duty_step next = each.lease.next(now, rank, isHolderAlive, true);
-    if (next == duty_step::Read && !isOut)
+    if (next == duty_step::Read && !isStoreDown)
         each.lease.onRead(now, store.record, store.revision);
     if (next != duty_step::Write)
         return;
     const duty_record record = each.lease.startWrite(now, false);
     const std::uint64_t expected = each.lease.revision();
     const std::optional<std::uint64_t> written =
-        isOut ? std::nullopt : store.write(record, expected);
-    each.lease.onWritten(now, loses ? std::nullopt : written, false);
+        isStoreDown ? std::nullopt : store.write(record, expected);
+    each.lease.onWritten(now, isAnswerLost ? std::nullopt : written, false);
 }
 
 } // namespace
@@ -63,22 +64,23 @@
         std::mt19937 random(seed);
         fake_store store;
         std::array<candidate, 3> all {candidate("a"), candidate("b"), candidate("c")};
-        const auto chance = [&random](int inThousand) {
-            return static_cast<int>(random() % 1000) < inThousand;
+        const auto withProbability = [&random](int perMille) {
+            return static_cast<int>(random() % 1000) < perMille;
         };
-        bool isOut = false;
+        bool isStoreDown = false;
         int lastHolder = -1;
         timestamp lastAct {};
         int acts = 0;
         for (timestamp now {}; now < timestamp {} + std::chrono::seconds(60); now += stepTime) {
-            isOut = chance(isOut ? 50 : 5) ? !isOut : isOut;
+            isStoreDown = withProbability(isStoreDown ? 50 : 5) ? !isStoreDown : isStoreDown;
             for (std::size_t i = 0; i < all.size(); ++i) {
                 candidate &each = all[i];
-                if (chance(10))
+                if (withProbability(10))
                     each.isDown = !each.isDown;
                 if (each.isDown)
                     continue;
-                stepCandidate(now, each, static_cast<int>(i), false, store, isOut, chance(30));
+                stepCandidate(now, each, static_cast<int>(i), false, store, isStoreDown,
+                              withProbability(30));
                 if (!each.lease.mayAct(now))
                     continue;
                 if (lastHolder >= 0 && lastHolder != static_cast<int>(i)) {
@@ -93,13 +95,13 @@
     }
 }
 
-TEST(DutyLease, ARestartedHolderTakesItsOwnRecordAtOnce)
+TEST(DutyLease, RestartedHolderTakesOverItsOwnRecordWithoutWaiting)
 {
     fake_store store {.record = duty_record {.holder = "b", .epoch = 4, .isSettled = true},
                       .revision = 9};
     candidate again("b");
     timestamp now {};
-    // Two others stand before it in rank: they have to wait, it has not.
+    // Its rank of 2 would delay another candidate, but not the one that the record names.
     for (int i = 0; i < 4 && !again.lease.mayAct(now); ++i, now += stepTime)
         stepCandidate(now, again, 2, false, store, false, false);
     EXPECT_TRUE(again.lease.mayAct(now));
@@ -107,7 +109,7 @@
     EXPECT_LE(now - timestamp {}, std::chrono::milliseconds(200));
 }
 
-TEST(DutyLease, ARestartedHolderThatMayHaveActedAfterAnotherWaits)
+TEST(DutyLease, RestartedHolderOfAnUnsettledRecordWaits)
 {
     fake_store store {.record = duty_record {.holder = "b", .epoch = 4}, .revision = 9};
     candidate again("b");
@@ -121,7 +123,7 @@
     EXPECT_TRUE(again.lease.mayAct(now));
 }
 
-TEST(DutyLease, AHolderThatWasPausedPastItsLeaseDoesNotAct)
+TEST(DutyLease, HolderPausedPastItsLeaseDoesNotAct)
 {
     fake_store store;
     candidate holder("a");
@@ -134,7 +136,7 @@
     EXPECT_EQ(holder.lease.next(now, 0, false, true), duty_step::Read);
 }
 
-TEST(DutyLease, NobodyWaitsForADutyThatWasGivenUp)
+TEST(DutyLease, ReleasedDutyIsTakenOverWithoutWaiting)
 {
     fake_store store {.record = duty_record {.holder = "a", .epoch = 1, .isReleased = true},
                       .revision = 3};
@@ -145,13 +147,14 @@
     EXPECT_TRUE(next.lease.holds(now));
 }
 
-// Load: 81 instances that start together; each of them read the store's record once and again.
-TEST(DutyLease, OnlyAFewLookAtTheRecordBeforeTheFirstHolderIsHeard)
+// Guards against a burst of store reads: when 81 instances started together, each of them read the
+// record repeatedly.
+TEST(DutyLease, FewInstancesReadTheRecordBeforeTheFirstHolderIsHeard)
 {
     int reads = 0;
     for (int rank = 0; rank < 81; ++rank) {
         duty_lease lease({.self = "m" + std::to_string(rank)});
-        // The first holder writes at once and is heard of within a report's period.
+        // The first holder writes immediately and is heard within a report period.
         constexpr duration heardAfter = std::chrono::milliseconds(450);
         bool hasRead = false;
         for (duration at {}; at < std::chrono::seconds(5); at += std::chrono::milliseconds(50)) {
@@ -161,23 +164,23 @@
         reads += hasRead ? 1 : 0;
     }
     EXPECT_LE(reads, 10);
-    // Where no holder appears, the last one's turn comes as well.
+    // If no holder appears, the instance of the highest rank reads as well.
     duty_lease last({.self = "m80"});
     const timestamp start = timestamp {} + std::chrono::seconds(10);
     EXPECT_EQ(last.next(start, 80, false, true), duty_step::None);
     EXPECT_EQ(last.next(start + std::chrono::seconds(4), 80, false, true), duty_step::Read);
 }
 
-TEST(DutyLease, TheRecordSurvivesItsText)
+TEST(DutyLease, RecordRoundTripsThroughText)
 {
     const duty_record record {.holder = "a",
                               .epoch = 7,
                               .renewal = 12,
                               .isReleased = true,
                               .namedAtMs = {{"m=2", 1771762944016}}};
-    EXPECT_EQ(dutyFromText(toText(record)), record);
-    EXPECT_FALSE(dutyFromText("{}"));
-    EXPECT_FALSE(dutyFromText("not json"));
+    EXPECT_EQ(parseDutyRecord(toText(record)), record);
+    EXPECT_FALSE(parseDutyRecord("{}"));
+    EXPECT_FALSE(parseDutyRecord("not json"));
 }
 
 } // namespace trefoil
--- a/libs/dispatch/tests/member_table_test.cpp
+++ b/libs/dispatch/tests/member_table_test.cpp
@@ -8,7 +8,7 @@
 
 namespace {
 
-member_entry entryOf(const char *name, const char *zone, std::uint16_t port)
+member_entry makeEntry(const char *name, const char *zone, std::uint16_t port)
 {
     return {.name = name,
             .zone = zone,
@@ -19,24 +19,26 @@
 
 } // namespace
 
-TEST(MemberTable, CallersGetLiveInstancesOfTheirZone)
+TEST(MemberTable, CallersAreSentToLiveInstancesOfTheirZone)
 {
     member_table members({.self = "a", .zone = "z1"});
     timestamp now {};
-    members.setListed(now, {entryOf("a", "z1", 1), entryOf("b", "z1", 2), entryOf("c", "z2", 3)});
+    members.setListed(now,
+                      {makeEntry("a", "z1", 1), makeEntry("b", "z1", 2), makeEntry("c", "z2", 3)});
     EXPECT_EQ(members.entry(now, "z1", true).size(), 2u);
-    // One instance is too few for a zone: its loss would leave the callers without any.
+    // A single instance is too few for a zone: its loss would leave the callers without one.
     EXPECT_EQ(members.entry(now, "z2", true).size(), 3u);
     EXPECT_EQ(members.entry(now, "z1", false).size(), 2u);
 }
 
-// Load: six instances with half a core each among 75 with an eighth and a link of ten megabits.
-TEST(MemberTable, CallersAreSentToTheLargeInstancesUntilThoseAreOverloaded)
+// Models a fleet of 6 instances with half a core each and 75 with an eighth of a core and a link of
+// 10 Mbit/s.
+TEST(MemberTable, CallersAreSentToLargeInstancesUntilThoseAreOverloaded)
 {
     member_table members({.self = "a", .zone = "z1"});
     timestamp now {};
-    std::vector<member_entry> entries {entryOf("a", "z1", 1), entryOf("b", "z1", 2),
-                                       entryOf("c", "z1", 3), entryOf("d", "z1", 4)};
+    std::vector<member_entry> entries {makeEntry("a", "z1", 1), makeEntry("b", "z1", 2),
+                                       makeEntry("c", "z1", 3), makeEntry("d", "z1", 4)};
     entries[0].capacity = capacityOf(0.12, 10);
     entries[1].capacity = capacityOf(0.5, 200);
     entries[2].capacity = capacityOf(0.5, 200);
@@ -47,7 +49,7 @@
     members.noteDelay("b", std::chrono::milliseconds(100));
     members.noteDelay("c", std::chrono::milliseconds(20));
     EXPECT_EQ(members.entry(now, "z1", true).size(), 4u);
-    // They stay spread for a while: the load would come back at once otherwise.
+    // Callers stay spread for a while; otherwise the overload would return immediately.
     members.noteDelay("b", {});
     for (const char *name : {"b", "c", "d"})
         members.noteReport(now + std::chrono::seconds(5), name, 1, 1, false, 0);
@@ -55,16 +57,17 @@
     for (const char *name : {"b", "c", "d"})
         members.noteReport(now + std::chrono::seconds(11), name, 1, 2, false, 0);
     EXPECT_EQ(members.entry(now + std::chrono::seconds(11), "z1", true).size(), 2u);
-    // One large instance is too few.
+    // A single large instance is too few, so callers are sent to all instances.
     members.noteReport(now + std::chrono::seconds(11), "c", 1, 3, true, 0);
     EXPECT_EQ(members.entry(now + std::chrono::seconds(11), "z1", true).size(), 3u);
 }
 
-TEST(MemberTable, AnInstanceThatLeavesOrFallsSilentIsNotNamed)
+TEST(MemberTable, CallersAreNotSentToLeavingOrSilentInstances)
 {
     member_table members({.self = "a", .zone = "z1"});
     timestamp now {};
-    members.setListed(now, {entryOf("a", "z1", 1), entryOf("b", "z1", 2), entryOf("c", "z1", 3)});
+    members.setListed(now,
+                      {makeEntry("a", "z1", 1), makeEntry("b", "z1", 2), makeEntry("c", "z1", 3)});
     EXPECT_TRUE(members.noteReport(now, "b", 1, 1, true, 0));
     EXPECT_FALSE(members.isAlive(now, "b"));
     now += std::chrono::milliseconds(1100);
@@ -74,12 +77,13 @@
     EXPECT_TRUE(members.isAlive(now, "c"));
 }
 
-// Load: instances without callers report every one and a half seconds.
-TEST(MemberTable, AnInstanceIsAliveForThreeOfItsPeriods)
+// Instances without callers report only every 1.5 s and must not be considered dead in between.
+TEST(MemberTable, InstanceIsAliveForThreeReportPeriods)
 {
     member_table members({.self = "a", .zone = "z1"});
     timestamp now {};
-    members.setListed(now, {entryOf("a", "z1", 1), entryOf("b", "z1", 2), entryOf("c", "z1", 3)});
+    members.setListed(now,
+                      {makeEntry("a", "z1", 1), makeEntry("b", "z1", 2), makeEntry("c", "z1", 3)});
     members.noteReport(now, "b", 1, 1, false, 0, std::chrono::milliseconds(1500));
     members.noteReport(now, "c", 1, 1, false, 0, std::chrono::milliseconds(200));
     EXPECT_TRUE(members.isAlive(now + std::chrono::milliseconds(4400), "b"));
@@ -87,53 +91,54 @@
     EXPECT_FALSE(members.isAlive(now + std::chrono::milliseconds(1100), "c"));
 }
 
-TEST(MemberTable, OlderReportsAreDropped)
+TEST(MemberTable, OutdatedReportsAreIgnored)
 {
     member_table members({.self = "a", .zone = "z1"});
     timestamp now {};
-    members.setListed(now, {entryOf("a", "z1", 1), entryOf("b", "z1", 2)});
+    members.setListed(now, {makeEntry("a", "z1", 1), makeEntry("b", "z1", 2)});
     EXPECT_TRUE(members.noteReport(now, "b", 2, 5, false, 3));
     EXPECT_FALSE(members.noteReport(now, "b", 2, 4, true, 0));
     EXPECT_FALSE(members.noteReport(now, "b", 1, 9, true, 0));
     EXPECT_FALSE(members.noteReport(now, "unlisted", 1, 1, false, 0));
     EXPECT_TRUE(members.holdsDuty(now, "b", 3));
     EXPECT_FALSE(members.holdsDuty(now + std::chrono::seconds(1), "b", 3));
-    EXPECT_TRUE(members.heardDuty("b", 3));
+    EXPECT_TRUE(members.reportedDuty("b", 3));
 }
 
-TEST(MemberTable, KnowsWhetherItIsListedAndWhetherAHolderIsHeard)
+TEST(MemberTable, ReportsWhetherSelfIsListedAndAHolderIsHeard)
 {
     member_table members({.self = "a", .zone = "z1"});
     timestamp now {};
-    EXPECT_FALSE(members.listsSelf());
-    members.setListed(now, {entryOf("a", "z1", 1), entryOf("b", "z1", 2)});
-    EXPECT_TRUE(members.listsSelf());
-    EXPECT_FALSE(members.hearsHolder(now));
+    EXPECT_FALSE(members.isSelfListed());
+    members.setListed(now, {makeEntry("a", "z1", 1), makeEntry("b", "z1", 2)});
+    EXPECT_TRUE(members.isSelfListed());
+    EXPECT_FALSE(members.isHolderHeard(now));
     members.noteReport(now, "b", 1, 1, false, 4);
-    EXPECT_TRUE(members.hearsHolder(now));
-    EXPECT_FALSE(members.hearsHolder(now + std::chrono::seconds(1)));
+    EXPECT_TRUE(members.isHolderHeard(now));
+    EXPECT_FALSE(members.isHolderHeard(now + std::chrono::seconds(1)));
 }
 
-TEST(MemberTable, RankCountsLiveInstancesBeforeThisOne)
+TEST(MemberTable, RankCountsLiveInstancesSortedBeforeSelf)
 {
     member_table members({.self = "c", .zone = "z1"});
     timestamp now {};
-    members.setListed(now, {entryOf("a", "z1", 1), entryOf("b", "z1", 2), entryOf("c", "z1", 3)});
+    members.setListed(now,
+                      {makeEntry("a", "z1", 1), makeEntry("b", "z1", 2), makeEntry("c", "z1", 3)});
     EXPECT_EQ(members.rank(now), 2);
     now += std::chrono::seconds(2);
     members.noteReport(now, "b", 1, 1, false, 0);
     EXPECT_EQ(members.rank(now), 1);
 }
 
-// Load: 81 instances in three zones. Each report once to every other instance carried half a
-// gigabyte between zones on a day of half a minute.
-TEST(MemberTable, ReportsOfALargeFleetCrossToEachZoneOnceAndReachEveryone)
+// Guards against excessive traffic between zones: when 81 instances in three zones sent each report
+// to every other instance, half a gigabyte crossed zones in half a minute.
+TEST(MemberTable, ReportInALargeFleetIsSentOnceToEachZoneAndReachesAllInstances)
 {
     constexpr int fleet = 81;
     std::vector<member_entry> entries;
     for (int i = 0; i < fleet; ++i) {
         const std::string name = "m" + std::to_string(100 + i);
-        entries.push_back(entryOf(name.c_str(), i % 3 == 0 ? "z0" : i % 3 == 1 ? "z1" : "z2", 1));
+        entries.push_back(makeEntry(name.c_str(), i % 3 == 0 ? "z0" : i % 3 == 1 ? "z1" : "z2", 1));
         entries.back().peers = {.host = name, .port = 1};
     }
     const timestamp now {};
@@ -149,26 +154,26 @@
         int crossing = 0;
         for (const report_target &target : tables.at("m100").reportTargets(now, sequence)) {
             heard.insert(target.to.host);
-            if (!target.isPassedOn)
+            if (!target.isForwarded)
                 continue;
             ++crossing;
             receivers.insert(target.to.host);
-            for (const endpoint &next : tables.at(target.to.host).passOnTargets("m100"))
+            for (const endpoint &next : tables.at(target.to.host).forwardTargets("m100"))
                 heard.insert(next.host);
         }
         EXPECT_EQ(crossing, 2);
         EXPECT_EQ(heard.size(), fleet - 1u);
         EXPECT_EQ(std::set<std::string>(heard.begin(), heard.end()).size(), fleet - 1u);
     }
-    EXPECT_EQ(receivers.size(), 6u) << "each report goes by other receivers";
+    EXPECT_EQ(receivers.size(), 6u) << "each report goes to different receivers";
 }
 
-TEST(MemberTable, ReceiversThatAreDeadAreLeftOutAndALostZoneIsStillTried)
+TEST(MemberTable, DeadReceiversAreSkippedButAZoneWithoutLiveOnesStillGetsReports)
 {
-    member_table members({.self = "a", .zone = "z1", .mostDirect = 2});
+    member_table members({.self = "a", .zone = "z1", .maxDirectPeers = 2});
     timestamp now {};
-    std::vector<member_entry> entries {entryOf("a", "z1", 1), entryOf("b", "z2", 2),
-                                       entryOf("c", "z2", 3), entryOf("d", "z1", 4)};
+    std::vector<member_entry> entries {makeEntry("a", "z1", 1), makeEntry("b", "z2", 2),
+                                       makeEntry("c", "z2", 3), makeEntry("d", "z1", 4)};
     for (member_entry &entry : entries)
         entry.peers = entry.callers;
     members.setListed(now, entries);
@@ -177,19 +182,20 @@
     for (std::uint64_t sequence = 1; sequence <= 4; ++sequence) {
         const std::vector<report_target> targets = members.reportTargets(now, sequence);
         ASSERT_EQ(targets.size(), 2u);
-        EXPECT_EQ(targets[1], (report_target {.to = entries[2].peers, .isPassedOn = true}));
+        EXPECT_EQ(targets[1], (report_target {.to = entries[2].peers, .isForwarded = true}));
     }
     now += std::chrono::seconds(2);
     EXPECT_NE(members.reportTargets(now, 1)[1], members.reportTargets(now, 2)[1]);
 }
 
-TEST(MemberTable, ReportsOfASmallFleetGoStraightToEveryone)
+TEST(MemberTable, ReportInASmallFleetIsSentDirectlyToAllInstances)
 {
     member_table members({.self = "a", .zone = "z1"});
-    members.setListed({}, {entryOf("a", "z1", 1), entryOf("b", "z1", 2), entryOf("c", "z2", 3)});
+    members.setListed({},
+                      {makeEntry("a", "z1", 1), makeEntry("b", "z1", 2), makeEntry("c", "z2", 3)});
     const std::vector<report_target> targets = members.reportTargets({}, 1);
     ASSERT_EQ(targets.size(), 2u);
-    EXPECT_FALSE(targets[0].isPassedOn || targets[1].isPassedOn);
+    EXPECT_FALSE(targets[0].isForwarded || targets[1].isForwarded);
 }
 
 } // namespace trefoil
--- a/libs/dispatch/tests/peer_report_test.cpp
+++ b/libs/dispatch/tests/peer_report_test.cpp
@@ -4,7 +4,7 @@
 
 namespace trefoil {
 
-TEST(PeerReport, SurvivesItsText)
+TEST(PeerReport, RoundTripsThroughText)
 {
     peer_report report {
         .from = "edge-1",
@@ -18,8 +18,8 @@
         .placed = {{.server = "s1",
                     .parts = {1, ~std::uint64_t {0}},
                     .store = "10.0.0.9:1",
-                    .isKept = true,
-                    .storeMs = 3.4}},
+                    .isStored = true,
+                    .storeTransferMs = 3.4}},
         .crashes = {{.request = digestOf("x"), .event = "s1"}},
         .loading = {"s2"},
         .weights = {{"s1=m", 4}},
@@ -27,7 +27,7 @@
         .dutyEpoch = 3,
         .releases = {{.service = "a", .release = "v2", .route = "r", .counts = {5, 1, 2}}},
         .storeEpochs = {{"10.0.0.9:1", 77}}};
-    const std::optional<peer_report> read = peerReportFromText(toText(report));
+    const std::optional<peer_report> read = parsePeerReport(toText(report));
     ASSERT_TRUE(read);
     EXPECT_EQ(read->incarnation, report.incarnation);
     EXPECT_TRUE(read->isLeaving);
@@ -38,8 +38,8 @@
     ASSERT_EQ(read->placed.size(), 1u);
     EXPECT_EQ(read->placed[0].parts, report.placed[0].parts);
     EXPECT_EQ(read->placed[0].store, "10.0.0.9:1");
-    EXPECT_TRUE(read->placed[0].isKept);
-    EXPECT_DOUBLE_EQ(read->placed[0].storeMs, 3.4);
+    EXPECT_TRUE(read->placed[0].isStored);
+    EXPECT_DOUBLE_EQ(read->placed[0].storeTransferMs, 3.4);
     EXPECT_EQ(read->storeEpochs, report.storeEpochs);
     EXPECT_EQ(read->crashes[0].request, report.crashes[0].request);
     EXPECT_EQ(read->loading, report.loading);
@@ -48,15 +48,15 @@
     EXPECT_EQ(read->releases[0].counts, report.releases[0].counts);
 }
 
-TEST(PeerReport, RefusesBytesThatAreNoReport)
+TEST(PeerReport, RejectsMalformedText)
 {
     for (const char *text : {"", "[]", "{}", "{\"from\":3}", "\xff\xfe"})
-        EXPECT_FALSE(peerReportFromText(text)) << text;
-    EXPECT_TRUE(peerReportFromText(
-        "{\"from\":\"a\",\"load\":{\"s\":[1]},\"placed\":[[1]],\"releases\":[3]}"));
+        EXPECT_FALSE(parsePeerReport(text)) << text;
+    EXPECT_TRUE(
+        parsePeerReport("{\"from\":\"a\",\"load\":{\"s\":[1]},\"placed\":[[1]],\"releases\":[3]}"));
 }
 
-TEST(PeerReport, WeightsHaveOneName)
+TEST(PeerReport, WeightsKeyRoundTrips)
 {
     const std::optional<weights_name> name = parseWeightsKey(weightsKey("a=b", 12));
     ASSERT_TRUE(name);
--- a/libs/dispatch/tests/release_shares_test.cpp
+++ b/libs/dispatch/tests/release_shares_test.cpp
@@ -8,16 +8,16 @@
 
 constexpr const char *service = "app";
 
-struct move
+struct rollout_simulation
 {
     release_shares shares {{}};
     timestamp now;
-    std::uint64_t next = 1;
-    int onNew = 0;
-    int all = 0;
-    int bad = 0;
+    std::uint64_t randomBits = 1;
+    int newCount = 0;
+    int totalCount = 0;
+    int failedCount = 0;
 
-    move()
+    rollout_simulation()
     {
         shares.setRequest(now, service,
                           rollout_request {.service = service,
@@ -25,18 +25,20 @@
                                            .time = std::chrono::seconds(12)});
     }
 
-    /// Serves @p count requests over @p time; the new release fails from @p badFrom seconds on.
-    void serve(double seconds, int count, double badFrom)
+    /// Serves @p count requests over @p seconds. The new release fails half of its requests from
+    /// @p failingFrom seconds on.
+    void serve(double seconds, int count, double failingFrom)
     {
         for (int i = 0; i < count; ++i, now += fromSeconds(seconds / count)) {
-            next = next * 6364136223846793005u + 1442695040888963407u;
-            const bool takesNew = shares.allows(now, service, "v2", next);
-            EXPECT_NE(takesNew, shares.allows(now, service, "v1", next));
-            const bool fails = takesNew && toSeconds(now - timestamp {}) >= badFrom && i % 2 == 0;
+            randomBits = randomBits * 6364136223846793005u + 1442695040888963407u;
+            const bool takesNew = shares.allows(now, service, "v2", randomBits);
+            EXPECT_NE(takesNew, shares.allows(now, service, "v1", randomBits));
+            const bool fails =
+                takesNew && toSeconds(now - timestamp {}) >= failingFrom && i % 2 == 0;
             shares.note(service, takesNew ? "v2" : "v1", "r", fails, false);
-            onNew += takesNew ? 1 : 0;
-            bad += fails ? 1 : 0;
-            ++all;
+            newCount += takesNew ? 1 : 0;
+            failedCount += fails ? 1 : 0;
+            ++totalCount;
             shares.step(now);
         }
     }
@@ -44,27 +46,27 @@
 
 } // namespace
 
-TEST(ReleaseShares, AGoodReleaseIsDoneBeforeTheDeadline)
+TEST(ReleaseShares, GoodReleaseIsDoneBeforeTheDeadline)
 {
-    move good;
+    rollout_simulation good;
     good.serve(12, 1200, 100);
     EXPECT_EQ(good.shares.stage(service), rollout_stage::Done);
     EXPECT_TRUE(good.shares.allows(good.now, service, "v2", 1));
     EXPECT_FALSE(good.shares.allows(good.now, service, "v1", 1));
 }
 
-TEST(ReleaseShares, ABadReleaseGetsLessThanATenthWheneverItTurnsBad)
+TEST(ReleaseShares, BadReleaseIsTakenBackWheneverItStartsFailing)
 {
     for (const double from : {0.0, 3.0, 8.0, 10.4}) {
-        move bad;
+        rollout_simulation bad;
         bad.serve(12, 1200, from);
         EXPECT_EQ(bad.shares.stage(service), rollout_stage::TakenBack) << from;
-        EXPECT_LE(bad.onNew, bad.all / 10 + 50) << from;
-        EXPECT_LE(bad.bad, 50) << from;
+        EXPECT_LE(bad.newCount, bad.totalCount / 10 + 50) << from;
+        EXPECT_LE(bad.failedCount, 50) << from;
     }
 }
 
-TEST(ReleaseShares, WhatWasReportedBeforeARestartHolds)
+TEST(ReleaseShares, ReportedStageIsRestoredAfterARestart)
 {
     release_shares shares({});
     shares.setRequest({}, service,
@@ -76,7 +78,7 @@
     EXPECT_TRUE(shares.allows({}, service, "v1", 1));
 }
 
-TEST(ReleaseShares, WithoutARequestAnyReleaseServes)
+TEST(ReleaseShares, AllReleasesAreAllowedWithoutARequest)
 {
     release_shares shares({});
     EXPECT_TRUE(shares.allows({}, service, "v1", 1));
--- a/libs/dispatch/tests/serving_tables_test.cpp
+++ b/libs/dispatch/tests/serving_tables_test.cpp
@@ -4,7 +4,7 @@
 
 namespace trefoil {
 
-TEST(ServingTables, TheLongestPrefixOfTheHostWins)
+TEST(ServingTables, LongestMatchingPrefixOfTheHostIsChosen)
 {
     serving_tables tables;
     tables.routes = {{.name = "short", .host = "shop.example", .pathPrefix = "/a/"},
@@ -16,7 +16,7 @@
     EXPECT_EQ(tables.findRoute("shop.example", "/b/"), nullptr);
 }
 
-TEST(ServingTables, AKeyNamesItsTeam)
+TEST(ServingTables, FindsTheTeamOfAKey)
 {
     serving_tables tables;
     tables.teams["reef"] = {.name = "reef"};
--- a/libs/dispatch/tests/team_limits_test.cpp
+++ b/libs/dispatch/tests/team_limits_test.cpp
@@ -22,12 +22,14 @@
     double units;
 };
 
-/// A fleet whose instances report to each other every 200 ms, under a team that sends a multiple of
-/// its rate to all of them.
-struct limit_fleet
-{
-    limit_fleet(int count, std::vector<int> cut, const team_limit_options &options = {})
-        : instances(static_cast<std::size_t>(count), team_limits(options)), cutOff(std::move(cut))
+/// A fleet whose instances report to each other every 200 ms. One team sends a multiple of its rate
+/// to all of them.
+struct simulated_fleet
+{
+    simulated_fleet(int count, std::vector<int> isolatedIndexes,
+                    const team_limit_options &options = {})
+        : instances(static_cast<std::size_t>(count), team_limits(options)),
+          isolated(std::move(isolatedIndexes))
     {
         for (int i = 0; i < count; ++i)
             names.push_back("i" + std::to_string(i));
@@ -43,29 +45,29 @@
     {
         for (std::size_t from = 0; from < instances.size(); ++from) {
             for (std::size_t to = 0; to < instances.size(); ++to) {
-                const bool isCut = std::count(cutOff.begin(), cutOff.end(), from) > 0
-                    || std::count(cutOff.begin(), cutOff.end(), to) > 0;
-                if (from != to && !isCut)
-                    instances[to].takeReport(now, names[from], 1, instances[from].totals(),
-                                             instances[from].askedRates(now));
+                const bool isIsolated = std::count(isolated.begin(), isolated.end(), from) > 0
+                    || std::count(isolated.begin(), isolated.end(), to) > 0;
+                if (from != to && !isIsolated)
+                    instances[to].applyReport(now, names[from], 1, instances[from].totals(),
+                                              instances[from].askedRates(now));
             }
         }
     }
 
-    /// Runs @p seconds at @p load times the rate and returns what was admitted.
+    /// Runs for @p seconds with a demand of @p load times the rate. Returns the admitted requests.
     std::vector<admission> run(int seconds, double load)
     {
         std::vector<admission> admitted;
         double due = 0;
-        std::size_t turn = 0;
+        std::size_t nextInstance = 0;
         const timestamp end = now + std::chrono::seconds(seconds);
         for (; now < end; now += step) {
             if ((now.time_since_epoch() % reportEvery).count() == 0)
                 report(now);
             due += rate * load * toSeconds(step) / requestUnits;
             for (; due >= 1; due -= 1) {
-                turn = (turn + 1) % busy;
-                if (!instances[turn].admit(now, "team", requestUnits))
+                nextInstance = (nextInstance + 1) % activeCount;
+                if (!instances[nextInstance].admit(now, "team", requestUnits))
                     admitted.push_back({now, requestUnits});
             }
         }
@@ -74,27 +76,27 @@
 
     std::vector<team_limits> instances;
     std::vector<std::string> names;
-    std::vector<int> cutOff;
+    std::vector<int> isolated;
     duration reportEvery = std::chrono::milliseconds(200);
     timestamp now {};
-    /// Instances that callers use.
-    std::size_t busy = instances.size();
+    /// Number of instances that callers send requests to.
+    std::size_t activeCount = instances.size();
 };
 
-/// Returns a grown site's fleet: six of 81 instances have callers.
-limit_fleet largeFleet(const team_limit_options &options = {})
+/// Returns a large fleet: 6 of its 81 instances have callers.
+simulated_fleet largeFleet(const team_limit_options &options = {})
 {
-    limit_fleet fleet(81, {}, options);
-    fleet.busy = 6;
+    simulated_fleet fleet(81, {}, options);
+    fleet.activeCount = 6;
     fleet.reportEvery = std::chrono::milliseconds(440);
     return fleet;
 }
 
-double mostInWindow(const std::vector<admission> &admitted, duration window)
+double maxInWindow(const std::vector<admission> &admitted, duration window)
 {
     std::deque<admission> inside;
     double sum = 0;
-    double most = 0;
+    double maxSum = 0;
     for (const admission &each : admitted) {
         inside.push_back(each);
         sum += each.units;
@@ -102,9 +104,9 @@
             sum -= inside.front().units;
             inside.pop_front();
         }
-        most = std::max(most, sum);
+        maxSum = std::max(maxSum, sum);
     }
-    return most;
+    return maxSum;
 }
 
 double sumOf(const std::vector<admission> &admitted)
@@ -115,76 +117,76 @@
     return sum;
 }
 
-/// The platform's bound: a tenth and 110,000 tokens over the limit in any eight seconds.
+/// The platform's bound on admitted units in any 8 s: the limit plus a tenth and 110,000 tokens.
 constexpr double allowedInWindow = (rate * 8 + burst) * 1.1 + 110000;
 
 } // namespace
 
-TEST(TeamLimits, AHotTeamIsCutAtItsLimitAndGetsAllOfIt)
+TEST(TeamLimits, OverloadingTeamIsLimitedToItsFullRate)
 {
-    limit_fleet fleet(8, {});
+    simulated_fleet fleet(8, {});
     const std::vector<admission> admitted = fleet.run(30, 7.5);
-    EXPECT_LE(mostInWindow(admitted, std::chrono::seconds(8)), allowedInWindow);
+    EXPECT_LE(maxInWindow(admitted, std::chrono::seconds(8)), allowedInWindow);
     EXPECT_GE(sumOf(admitted), 0.95 * rate * 30);
 }
 
-TEST(TeamLimits, NothingBelowTheLimitIsRefused)
+TEST(TeamLimits, DemandBelowTheLimitIsNotRefused)
 {
-    limit_fleet fleet(8, {});
+    simulated_fleet fleet(8, {});
     const std::vector<admission> admitted = fleet.run(30, 0.9);
     EXPECT_GE(sumOf(admitted), 0.9 * rate * 30 - 2 * requestUnits);
 }
 
-// Load: a limit lowered to a little less than its team's usual, on a grown site. Six of 81
-// instances have callers; a team with a full burst may ask 1.08 times its rate for ten seconds.
-TEST(TeamLimits, ATeamThatAsksALittleMoreThanItsRateMaySpendItsWholeBurst)
+// Guards against refusals after a limit was lowered slightly below the team's usual demand: a team
+// with a full burst may send 1.08 times its rate for 10 s, also if only 6 of 81 instances have
+// callers.
+TEST(TeamLimits, TeamSlightlyAboveItsRateCanSpendItsWholeBurst)
 {
-    limit_fleet fleet = largeFleet();
+    simulated_fleet fleet = largeFleet();
     fleet.run(4, 0.3);
-    // A jump from little use would cost what was refilled until the reports told of it.
+    // Demand rises gradually; after a jump, units refilled before the next reports would be lost.
     fleet.run(2, 1.0);
     const std::vector<admission> admitted = fleet.run(10, 1.08);
     EXPECT_GE(sumOf(admitted), 1.08 * rate * 10 - 3 * requestUnits);
 }
 
-// Load: the same team beyond its burst, with requests that are large against an instance's part.
-TEST(TeamLimits, ATeamBeyondItsLimitStillGetsAllOfItsRate)
+// The same team beyond its burst, with requests that are large compared with an instance's share.
+TEST(TeamLimits, TeamBeyondItsBurstStillGetsItsFullRate)
 {
-    limit_fleet fleet = largeFleet();
+    simulated_fleet fleet = largeFleet();
     const std::vector<admission> admitted = fleet.run(30, 1.5);
     EXPECT_GE(sumOf(admitted), 0.97 * rate * 30);
-    EXPECT_LE(mostInWindow(admitted, std::chrono::seconds(8)), allowedInWindow);
+    EXPECT_LE(maxInWindow(admitted, std::chrono::seconds(8)), allowedInWindow);
 }
 
-// Load: a limit lowered below its team's usual for a whole day: it may use its burst in every
-// window.
-TEST(TeamLimits, WithAWindowATeamGetsWhatItsWindowAllowsAllTheTime)
+// A limit stays below the team's usual demand for long: the team may use its burst in every window.
+TEST(TeamLimits, WindowAllowsRateAndBurstInEveryWindow)
 {
     const team_limit_options options {.window = std::chrono::seconds(8)};
-    for (limit_fleet fleet : {limit_fleet(8, {}, options), largeFleet(options)}) {
+    for (simulated_fleet fleet : {simulated_fleet(8, {}, options), largeFleet(options)}) {
         const std::size_t count = fleet.instances.size();
         fleet.run(4, 0.3);
         const std::vector<admission> usual = fleet.run(30, 1.07);
         EXPECT_GE(sumOf(usual), 1.07 * rate * 30 - 3 * requestUnits) << count;
-        const std::vector<admission> hot = fleet.run(30, 7.5);
-        EXPECT_LE(mostInWindow(hot, std::chrono::seconds(8)), allowedInWindow) << count;
-        EXPECT_GE(sumOf(hot), 1.05 * rate * 30) << count;
+        const std::vector<admission> overload = fleet.run(30, 7.5);
+        EXPECT_LE(maxInWindow(overload, std::chrono::seconds(8)), allowedInWindow) << count;
+        EXPECT_GE(sumOf(overload), 1.05 * rate * 30) << count;
     }
 }
 
-TEST(TeamLimits, WithAWindowInstancesThatHearNobodyKeepTheFleetBelowTheBound)
+TEST(TeamLimits, WindowLimitHoldsWithIsolatedInstances)
 {
-    limit_fleet fleet(8, {0, 1, 2}, {.window = std::chrono::seconds(8)});
+    simulated_fleet fleet(8, {0, 1, 2}, {.window = std::chrono::seconds(8)});
     const std::vector<admission> admitted = fleet.run(30, 7.5);
-    EXPECT_LE(mostInWindow(admitted, std::chrono::seconds(8)), allowedInWindow);
+    EXPECT_LE(maxInWindow(admitted, std::chrono::seconds(8)), allowedInWindow);
 }
 
-// Load: a team whose asking rises and falls around its rate, request sizes that differ a
-// hundredfold. Spending from the full bucket counted against an instance's part for seconds
-// afterwards: requests were refused with half of the burst left.
-TEST(TeamLimits, ATeamWhoseAskingVariesIsNotRefusedForWhatItWasAllowedBefore)
+// Guards against refusals while half of the burst is left: demand varies around the rate, as with
+// request sizes that differ a hundredfold, and units spent from a full bucket counted against an
+// instance's share for seconds afterwards.
+TEST(TeamLimits, VaryingDemandIsNotRefusedForUnitsAdmittedFromAFullBucket)
 {
-    limit_fleet fleet(8, {});
+    simulated_fleet fleet(8, {});
     fleet.run(4, 0.3);
     std::vector<admission> admitted;
     for (int i = 0; i < 15; ++i) {
@@ -194,25 +196,25 @@
         }
     }
     EXPECT_GE(sumOf(admitted), 0.97 * rate * 30);
-    EXPECT_LE(mostInWindow(admitted, std::chrono::seconds(8)), allowedInWindow);
+    EXPECT_LE(maxInWindow(admitted, std::chrono::seconds(8)), allowedInWindow);
 }
 
-TEST(TeamLimits, AHotTeamOfALargeFleetIsCutAtItsLimit)
+TEST(TeamLimits, OverloadingTeamIsLimitedInALargeFleet)
 {
-    limit_fleet fleet = largeFleet();
+    simulated_fleet fleet = largeFleet();
     const std::vector<admission> admitted = fleet.run(30, 7.5);
-    EXPECT_LE(mostInWindow(admitted, std::chrono::seconds(8)), allowedInWindow);
+    EXPECT_LE(maxInWindow(admitted, std::chrono::seconds(8)), allowedInWindow);
     EXPECT_GE(sumOf(admitted), 0.95 * rate * 30);
 }
 
-TEST(TeamLimits, InstancesThatHearNobodyKeepTheFleetBelowTheBound)
+TEST(TeamLimits, LimitHoldsWithIsolatedInstances)
 {
-    limit_fleet fleet(8, {0, 1, 2});
+    simulated_fleet fleet(8, {0, 1, 2});
     const std::vector<admission> admitted = fleet.run(30, 7.5);
-    EXPECT_LE(mostInWindow(admitted, std::chrono::seconds(8)), allowedInWindow);
+    EXPECT_LE(maxInWindow(admitted, std::chrono::seconds(8)), allowedInWindow);
 }
 
-TEST(TeamLimits, ALoweredLimitBindsAtOnce)
+TEST(TeamLimits, LoweredLimitAppliesImmediately)
 {
     team_limits limits({});
     limits.setLimit(timestamp {}, "team", rate, burst);
@@ -223,7 +225,7 @@
     EXPECT_NEAR(toSeconds(*wait), requestUnits / (rate / 10), 0.01);
 }
 
-TEST(TeamLimits, AFreshInstanceTakesOverTheLevel)
+TEST(TeamLimits, NewInstanceAdoptsReportedLevels)
 {
     team_limits limits({});
     limits.setLimit(timestamp {}, "team", rate, burst);
@@ -231,7 +233,7 @@
     EXPECT_TRUE(limits.admit(timestamp {}, "team", 1));
 }
 
-TEST(TeamLimits, ARequestThatNeverRanIsGivenBack)
+TEST(TeamLimits, UnitsOfARequestThatNeverRanAreReturned)
 {
     team_limits limits({});
     limits.setLimit(timestamp {}, "team", rate, burst);
