--- a/libs/dispatch/tests/weights_plan_test.cpp
+++ b/libs/dispatch/tests/weights_plan_test.cpp
@@ -12,10 +12,10 @@
 constexpr const char *model = "m";
 constexpr duration stepTime = std::chrono::milliseconds(50);
 
-/// Servers that carry out orders in a fixed time, or lose them.
-struct weights_pool
+/// A pool of simulated servers that execute orders in a fixed time or lose them.
+struct simulated_pool
 {
-    explicit weights_pool(int count)
+    explicit simulated_pool(int count)
     {
         for (int i = 0; i < count; ++i)
             servers.push_back({.id = "s" + std::to_string(i),
@@ -30,10 +30,10 @@
                              [&id](const registered_server &each) { return each.id == id; });
     }
 
-    /// Runs the plan until @p end. Returns the most servers that loaded at once.
+    /// Runs the plan until @p end. Returns the maximum number of servers that loaded concurrently.
     std::size_t run(timestamp &now, timestamp end, weights_plan &plan)
     {
-        std::size_t most = 0;
+        std::size_t maxLoads = 0;
         for (; now < end; now += stepTime) {
             for (auto it = loads.begin(); it != loads.end();) {
                 if (it->second.first > now) {
@@ -46,9 +46,9 @@
             const weights_plan::actions due = plan.next(now, 1,
                                                         {.servers = servers,
                                                          .newest = {{model, newest}},
-                                                         .barredUntil = barred,
+                                                         .blockedUntil = blocked,
                                                          .unreachable = unreachable});
-            for (const registered_server &each : due.questions) {
+            for (const registered_server &each : due.serversToPoll) {
                 const order_state state {.acceptedOrders = orders[each.id],
                                          .isBusy = loads.contains(each.id),
                                          .weights = find(each.id).weights};
@@ -56,16 +56,16 @@
             }
             for (const weights_order &each : due.orders)
                 plan.onAnswer(now, each.server, answer(now, each));
-            most = std::max(most, loads.size());
+            maxLoads = std::max(maxLoads, loads.size());
         }
-        return most;
+        return maxLoads;
     }
 
     order_answer answer(timestamp now, const weights_order &order)
     {
-        ++sent;
-        if (losing.contains(order.server)) {
-            losing.erase(order.server);
+        ++sentOrders;
+        if (ordersToLose.contains(order.server)) {
+            ordersToLose.erase(order.server);
             return order_answer::Unknown;
         }
         if (loads.contains(order.server) || order.expectedOrders != orders[order.server])
@@ -75,7 +75,7 @@
         return order_answer::Accepted;
     }
 
-    bool isAll(std::uint64_t version) const
+    bool allRun(std::uint64_t version) const
     {
         return std::all_of(servers.begin(), servers.end(),
                            [version](const registered_server &each) {
@@ -86,74 +86,74 @@
     std::vector<registered_server> servers;
     std::map<std::string, std::uint64_t> orders;
     std::map<std::string, std::pair<timestamp, std::uint64_t>> loads;
-    std::set<std::string> losing;
-    std::map<std::string, timestamp, std::less<>> barred;
+    std::set<std::string> ordersToLose;
+    std::map<std::string, timestamp, std::less<>> blocked;
     std::set<std::string, std::less<>> unreachable;
     std::uint64_t newest = 1;
-    int sent = 0;
+    int sentOrders = 0;
 };
 
 } // namespace
 
-TEST(WeightsPlan, BringsNamedWeightsEverywhereInTimeAndKeepsMostServersInService)
+TEST(WeightsPlan, RollsOutNewWeightsInTimeAndKeepsMostServersInService)
 {
-    weights_pool pool(18);
+    simulated_pool pool(18);
     weights_plan plan({});
     timestamp now {};
     pool.run(now, now + std::chrono::seconds(1), plan);
-    EXPECT_EQ(pool.sent, 0);
+    EXPECT_EQ(pool.sentOrders, 0);
     pool.newest = 2;
-    const std::size_t most = pool.run(now, now + std::chrono::seconds(10), plan);
-    EXPECT_TRUE(pool.isAll(2));
-    EXPECT_LE(most, 7u);
-    EXPECT_EQ(pool.sent, 18);
+    const std::size_t maxLoads = pool.run(now, now + std::chrono::seconds(10), plan);
+    EXPECT_TRUE(pool.allRun(2));
+    EXPECT_LE(maxLoads, 7u);
+    EXPECT_EQ(pool.sentOrders, 18);
 }
 
-TEST(WeightsPlan, ASupersededVersionIsSkippedAndHoldsNoPlace)
+TEST(WeightsPlan, SupersededVersionIsSkippedAndDoesNotBlockNewOrders)
 {
-    weights_pool pool(18);
+    simulated_pool pool(18);
     weights_plan plan({});
     timestamp now {};
     pool.newest = 2;
     pool.run(now, now + std::chrono::seconds(2), plan);
     pool.newest = 3;
     pool.run(now, now + std::chrono::seconds(9), plan);
-    EXPECT_TRUE(pool.isAll(3));
-    EXPECT_LE(pool.sent, 18 + 14);
+    EXPECT_TRUE(pool.allRun(3));
+    EXPECT_LE(pool.sentOrders, 18 + 14);
 }
 
-TEST(WeightsPlan, LostOrdersAreLookedAtAndGivenAgain)
+TEST(WeightsPlan, LostOrdersAreDetectedAndRepeated)
 {
-    weights_pool pool(6);
-    pool.losing = {"s0", "s3", "s5"};
+    simulated_pool pool(6);
+    pool.ordersToLose = {"s0", "s3", "s5"};
     weights_plan plan({});
     timestamp now {};
     pool.newest = 2;
     pool.run(now, now + std::chrono::seconds(10), plan);
-    EXPECT_TRUE(pool.isAll(2));
+    EXPECT_TRUE(pool.allRun(2));
 }
 
-// Load: a quarter of the pool dark as weights are named. Orders and questions to dark servers each
-// held a thread until their time ran out, and a place among those that load at once.
-TEST(WeightsPlan, DarkServersGetNoOrdersUntilTheyCanBeReached)
+// A quarter of the pool is unreachable when weights are announced. Orders and polls to unreachable
+// servers each blocked a thread until their timeout and counted as concurrent loads.
+TEST(WeightsPlan, UnreachableServersGetNoOrdersUntilReachable)
 {
-    weights_pool pool(20);
+    simulated_pool pool(20);
     pool.unreachable = {"s0", "s1", "s2", "s3", "s4"};
     weights_plan plan({});
     timestamp now {};
     pool.newest = 2;
     pool.run(now, now + std::chrono::seconds(8), plan);
-    EXPECT_EQ(pool.sent, 15);
+    EXPECT_EQ(pool.sentOrders, 15);
     for (const registered_server &server : pool.servers)
         EXPECT_EQ(server.weights.at(model), pool.unreachable.contains(server.id) ? 1u : 2u);
     pool.unreachable.clear();
     pool.run(now, now + std::chrono::seconds(5), plan);
-    EXPECT_TRUE(pool.isAll(2));
+    EXPECT_TRUE(pool.allRun(2));
 }
 
-TEST(WeightsPlan, ARestartedServerIsAskedForItsOrders)
+TEST(WeightsPlan, RestartedServerIsPolledAndOrderedAgain)
 {
-    weights_pool pool(3);
+    simulated_pool pool(3);
     weights_plan plan({});
     timestamp now {};
     pool.newest = 2;
@@ -162,29 +162,29 @@
     pool.find("s1").weights[model] = 1;
     pool.orders["s1"] = 0;
     pool.run(now, now + std::chrono::seconds(4), plan);
-    EXPECT_TRUE(pool.isAll(2));
+    EXPECT_TRUE(pool.allRun(2));
 }
 
-TEST(WeightsPlan, ServersOrderedByTheHolderBeforeAreLeftAloneForItsQuietTime)
+TEST(WeightsPlan, BlockedServersGetNoOrdersUntilTheBlockEnds)
 {
-    weights_pool pool(4);
+    simulated_pool pool(4);
     weights_plan plan({});
     timestamp now {};
-    pool.barred = {{"s2", now + std::chrono::seconds(3)}};
+    pool.blocked = {{"s2", now + std::chrono::seconds(3)}};
     pool.newest = 2;
     pool.run(now, now + std::chrono::milliseconds(2900), plan);
     EXPECT_EQ(pool.orders["s2"], 0u);
     pool.run(now, now + std::chrono::seconds(3), plan);
-    EXPECT_TRUE(pool.isAll(2));
+    EXPECT_TRUE(pool.allRun(2));
 }
 
-TEST(WeightsPlan, TheOldestWeightsGoFirst)
+TEST(WeightsPlan, ServersWithTheOldestWeightsAreOrderedFirst)
 {
-    weights_pool pool(12);
+    simulated_pool pool(12);
     pool.newest = 3;
     for (int i = 0; i < 12; ++i)
         pool.servers[static_cast<std::size_t>(i)].weights[model] = i < 8 ? 2 : 1;
-    weights_plan plan({.shareAtOnce = 0.25, .leastAtOnce = 3});
+    weights_plan plan({.maxLoadingShare = 0.25, .minConcurrentLoads = 3});
     timestamp now {};
     pool.run(now, now + std::chrono::milliseconds(200), plan);
     for (auto it = pool.loads.begin(); it != pool.loads.end(); ++it)
--- a/trefoilrouter/src/edge/duty_runner.cpp
+++ b/trefoilrouter/src/edge/duty_runner.cpp
@@ -85,7 +85,7 @@
     const result<std::uint64_t> epoch = readCacheStoreEpoch(store, patience);
     const std::string address = toString(store);
     m_state.with(
-        [&](edge_beliefs &beliefs) { beliefs.board.noteStoreState(address, epoch.value_or(0)); });
+        [&](edge_beliefs &beliefs) { beliefs.board.setStoreEpoch(address, epoch.value_or(0)); });
     const std::lock_guard<std::mutex> lock(m_mutex);
     const auto before = m_storeEpochs.find(address);
     if (before != m_storeEpochs.end() && (before->second != 0) != epoch.has_value())
@@ -131,10 +131,10 @@
         bool isListed = false;
         m_state.with([&](edge_beliefs &beliefs) {
             rank = beliefs.members.rank(now);
-            isListed = beliefs.members.listsSelf();
+            isListed = beliefs.members.isSelfListed();
             isHolderAlive = m_lease.isKnown()
                 ? beliefs.members.holdsDuty(now, record.holder, record.epoch)
-                : beliefs.members.hearsHolder(now);
+                : beliefs.members.isHolderHeard(now);
         });
         // While an order is on its way the duty can't be given up.
         const bool mayHold = !m_state.isLeaving() || m_ordersOnTheWay > 0;
@@ -160,7 +160,7 @@
 bool duty_runner::knowsOrdersOf(const duty_record &holder)
 {
     return m_state.with([&holder](edge_beliefs &beliefs) {
-        return beliefs.members.heardDuty(holder.holder, holder.epoch);
+        return beliefs.members.reportedDuty(holder.holder, holder.epoch);
     });
 }
 
@@ -170,7 +170,7 @@
     const std::uint64_t wall = wallMilliseconds();
     std::map<std::string, std::uint64_t, std::less<>> times;
     m_state.with([&](edge_beliefs &beliefs) {
-        const auto &named = beliefs.board.namedWeights();
+        const auto &named = beliefs.board.announcedWeights();
         for (auto model = named.begin(); model != named.end(); ++model) {
             for (auto it = model->second.begin(); it != model->second.end(); ++it)
                 times[weightsKey(model->first, it->first)] =
@@ -188,8 +188,8 @@
         for (auto it = record.namedAtMs.begin(); it != record.namedAtMs.end(); ++it) {
             const std::optional<weights_name> name = parseWeightsKey(it->first);
             if (name && it->second <= wall)
-                beliefs.board.noteNamedWeights(name->model, name->version,
-                                               now - std::chrono::milliseconds(wall - it->second));
+                beliefs.board.addAnnouncedWeights(
+                    name->model, name->version, now - std::chrono::milliseconds(wall - it->second));
         }
     });
 }
@@ -198,14 +198,14 @@
 {
     const result<object> got = m_store.get(dutyObject);
     if (got) {
-        const std::optional<duty_record> record = dutyFromText(got->value);
+        const std::optional<duty_record> record = parseDutyRecord(got->value);
         if (record)
             takeNamedTimes(*record);
     }
     const std::lock_guard<std::mutex> lock(m_mutex);
     const timestamp now = boot_clock::now();
     if (got)
-        m_lease.onRead(now, dutyFromText(got->value), got->version);
+        m_lease.onRead(now, parseDutyRecord(got->value), got->version);
     else if (got.error().code == platform_errors::notFound)
         m_lease.onRead(now, std::nullopt, 0);
 }
@@ -260,7 +260,7 @@
                 known.running[server.id] = beliefs.board.totalLoad(now, server.id).running;
             for (auto it = beliefs.orderedElsewhere.begin(); it != beliefs.orderedElsewhere.end();
                  ++it)
-                known.barredUntil[it->first] = it->second + quietTime;
+                known.blockedUntil[it->first] = it->second + quietTime;
         });
         known.servers = servers;
         due = m_plan.next(now, m_lease.epoch(), known);
@@ -268,7 +268,7 @@
     if (!due.orders.empty()) {
         m_state.with([&](edge_beliefs &beliefs) {
             for (const weights_order &each : due.orders)
-                beliefs.board.noteLoading(each.server, now + loadingTime);
+                beliefs.board.markLoading(each.server, now + loadingTime);
         });
         exchange.sendNow();
     }
@@ -276,7 +276,7 @@
         m_ordersOnTheWay += 1;
         m_queue.post([this, each] { order(each); });
     }
-    for (const registered_server &server : due.questions)
+    for (const registered_server &server : due.serversToPoll)
         m_queue.post([this, server] { ask(server); });
 }
 
@@ -297,7 +297,7 @@
         m_plan.onAnswer(now, each.server, answer);
     }
     if (answer != order_answer::Accepted)
-        m_state.with([&](edge_beliefs &beliefs) { beliefs.board.noteLoading(each.server, now); });
+        m_state.with([&](edge_beliefs &beliefs) { beliefs.board.markLoading(each.server, now); });
     m_ordersOnTheWay -= 1;
     writeEvent(event_line("duty", "weights_ordered")
                    .add("server", each.server)
@@ -315,7 +315,8 @@
     if (state) {
         m_state.with([&](edge_beliefs &beliefs) {
             for (auto it = state->weights.begin(); it != state->weights.end(); ++it)
-                beliefs.board.noteSeenWeights(boot_clock::now(), server.id, it->first, it->second);
+                beliefs.board.onWeightsObserved(boot_clock::now(), server.id, it->first,
+                                                it->second);
         });
     } else {
         writeEvent(event_line("duty", "server_state_unknown")
--- a/trefoilrouter/src/edge/edge_handlers.cpp
+++ b/trefoilrouter/src/edge/edge_handlers.cpp
@@ -73,7 +73,7 @@
     bool isCutOff = false;
     state.with([&](edge_beliefs &beliefs) {
         const std::size_t others = beliefs.members.otherCount();
-        const std::size_t live = beliefs.members.liveOthers(now);
+        const std::size_t live = beliefs.members.liveOtherCount(now);
         isTroubled = live < others;
         isCutOff = others > 0 && live == 0 && !state.isStoreReachable();
         instances = beliefs.members.entry(now, zone, state.isReady());
--- a/trefoilrouter/src/edge/edge_instance.cpp
+++ b/trefoilrouter/src/edge/edge_instance.cpp
@@ -237,7 +237,7 @@
 {
     result<byte_stream> stream = byte_stream::connect(server.address, probeTimeout);
     m_state.with(
-        [&](edge_beliefs &beliefs) { beliefs.board.noteProbe(server.id, stream.has_value()); });
+        [&](edge_beliefs &beliefs) { beliefs.board.onProbeResult(server.id, stream.has_value()); });
     writeEvent(event_line("servers", "server_probed")
                    .add("server", server.id)
                    .add("reachable", stream.has_value())
--- a/trefoilrouter/src/edge/edge_state.cpp
+++ b/trefoilrouter/src/edge/edge_state.cpp
@@ -35,10 +35,10 @@
 edge_beliefs::edge_beliefs(const platform_settings &settings)
     : board({.zone = settings.zone,
              .randomSeed = hash64(settings.name),
-             .olderWeightsLimit = settings.weightsDeadline - longestServerWait}),
+             .staleWeightsLimit = settings.weightsDeadline - longestServerWait}),
       limits({.window = settings.limitWindow}),
       members({.self = settings.name, .zone = settings.zone}),
-      releases({.trialShare = settings.exposeShare / 2}), budgetOptions(budgetOptionsOf(settings))
+      releases({.canaryShare = settings.exposeShare / 2}), budgetOptions(budgetOptionsOf(settings))
 { }
 
 void edge_beliefs::shareRetries(const platform_settings &settings, std::size_t instances)
--- a/trefoilrouter/src/edge/edge_state.h
+++ b/trefoilrouter/src/edge/edge_state.h
@@ -11,7 +11,7 @@
 #include <adapter/platform_settings.h>
 #include <core/clock.h>
 #include <delivery/retry_window.h>
-#include <dispatch/load_board.h>
+#include <dispatch/load_balancer.h>
 #include <dispatch/member_table.h>
 #include <dispatch/peer_report.h>
 #include <dispatch/release_shares.h>
@@ -29,13 +29,13 @@
 {
     explicit edge_beliefs(const platform_settings &settings);
 
-    load_board board;
+    load_balancer board;
     team_limits limits;
     member_table members;
     release_shares releases;
     crash_ledger crashes;
     /// Crashes seen here, told to the others until they are old.
-    std::vector<std::pair<timestamp, crash_note>> ownCrashes;
+    std::vector<std::pair<timestamp, crash_record>> ownCrashes;
     /// Retries by service.
     std::map<std::string, retry_window, std::less<>> budgets;
     retry_window_options budgetOptions;
--- a/trefoilrouter/src/edge/peer_exchange.cpp
+++ b/trefoilrouter/src/edge/peer_exchange.cpp
@@ -112,8 +112,8 @@
             report.levels = beliefs.limits.levels(now);
         report.gone = beliefs.board.goneServers();
         report.unreachable = beliefs.board.unreachableServers();
-        report.placed = beliefs.board.takePlacedParts();
-        for (const std::pair<timestamp, crash_note> &each : beliefs.ownCrashes)
+        report.placed = beliefs.board.takeCachePlacements();
+        for (const std::pair<timestamp, crash_record> &each : beliefs.ownCrashes)
             report.crashes.push_back(each.second);
         for (auto it = beliefs.ownOutcomes.begin(); it != beliefs.ownOutcomes.end(); ++it)
             report.releases.push_back(it->second);
@@ -122,7 +122,7 @@
             for (auto it = server.weights.begin(); it != server.weights.end(); ++it)
                 report.weights[server.id + "=" + it->first] = it->second;
         }
-        const auto &named = beliefs.board.namedWeights();
+        const auto &named = beliefs.board.announcedWeights();
         for (auto model = named.begin(); model != named.end(); ++model) {
             for (auto it = model->second.begin(); it != model->second.end(); ++it)
                 report.namedAgeMs[weightsKey(model->first, it->first)] = static_cast<std::uint64_t>(
@@ -140,7 +140,7 @@
     const std::string text = toText(report);
     const std::string marked = passOnMark + text;
     for (const report_target &target : targets)
-        sendTo(target.to, target.isPassedOn ? marked : text);
+        sendTo(target.to, target.isForwarded ? marked : text);
 }
 
 void peer_exchange::sendTo(const endpoint &peer, std::string_view datagram)
@@ -156,18 +156,18 @@
 
 void peer_exchange::receive(std::string_view datagram)
 {
-    const bool isPassedOn = datagram.starts_with(passOnMark);
-    if (isPassedOn)
+    const bool isForwarded = datagram.starts_with(passOnMark);
+    if (isForwarded)
         datagram.remove_prefix(1);
-    const std::optional<peer_report> report = peerReportFromText(datagram);
+    const std::optional<peer_report> report = parsePeerReport(datagram);
     if (!report) {
         writeEvent(event_line("members", "report_malformed")
                        .add("bytes", std::uint64_t {datagram.size()}));
         return;
     }
-    if (isPassedOn) {
+    if (isForwarded) {
         const std::vector<endpoint> targets = m_state.with(
-            [&](edge_beliefs &beliefs) { return beliefs.members.passOnTargets(report->from); });
+            [&](edge_beliefs &beliefs) { return beliefs.members.forwardTargets(report->from); });
         for (const endpoint &target : targets)
             sendTo(target, datagram);
     }
@@ -182,7 +182,7 @@
                                         report.isLeaving, report.dutyEpoch,
                                         fromSeconds(report.periodMs / 1000)))
             return false;
-        peer = beliefs.members.peersOf(report.from);
+        peer = beliefs.members.peerAddress(report.from);
         beliefs.members.noteDelay(report.from, fromSeconds(report.delayMs / 1000));
         learnServers(now, report, beliefs);
         learnWeights(now, report, beliefs);
@@ -199,39 +199,39 @@
     if (report.storeHeardAgoMs)
         beliefs.storeOutage.noteHeard(now - std::chrono::milliseconds(*report.storeHeardAgoMs));
     for (auto it = report.storeEpochs.begin(); it != report.storeEpochs.end(); ++it)
-        beliefs.board.noteStoreState(it->first, it->second);
-    beliefs.board.takePeerLoad(now, report.from, report.load);
-    beliefs.board.notePlacedParts(now, report.placed);
+        beliefs.board.setStoreEpoch(it->first, it->second);
+    beliefs.board.setPeerLoad(now, report.from, report.load);
+    beliefs.board.addCachePlacements(now, report.placed);
     for (const std::string &server : report.gone)
-        beliefs.board.noteGone(server);
+        beliefs.board.markGone(server);
     for (const std::string &server : report.unreachable)
-        beliefs.board.noteDoubt(now, server);
+        beliefs.board.requestProbe(now, server);
 }
 
 void peer_exchange::learnWeights(timestamp now, const peer_report &report, edge_beliefs &beliefs)
 {
     for (const std::string &server : report.loading) {
-        beliefs.board.noteLoading(server, now + loadingLife);
+        beliefs.board.markLoading(server, now + loadingLife);
         beliefs.orderedElsewhere[server] = now;
     }
     for (auto it = report.weights.begin(); it != report.weights.end(); ++it) {
         const std::size_t end = it->first.rfind('=');
         if (end != std::string::npos)
-            beliefs.board.noteToldWeights(it->first.substr(0, end), it->first.substr(end + 1),
-                                          it->second);
+            beliefs.board.onWeightsReported(it->first.substr(0, end), it->first.substr(end + 1),
+                                            it->second);
     }
     for (auto it = report.namedAgeMs.begin(); it != report.namedAgeMs.end(); ++it) {
         const std::optional<weights_name> name = parseWeightsKey(it->first);
         if (name)
-            beliefs.board.noteNamedWeights(name->model, name->version,
-                                           now - std::chrono::milliseconds(it->second));
+            beliefs.board.addAnnouncedWeights(name->model, name->version,
+                                              now - std::chrono::milliseconds(it->second));
     }
 }
 
 void peer_exchange::learnLimits(timestamp now, const peer_report &report, edge_beliefs &beliefs)
 {
-    beliefs.limits.takeReport(now, report.from, report.incarnation, report.admitted,
-                              report.askedRates, fromSeconds(report.periodMs / 1000));
+    beliefs.limits.applyReport(now, report.from, report.incarnation, report.admitted,
+                               report.askedRates, fromSeconds(report.periodMs / 1000));
     // A fresh instance takes over what one that ran before it knows.
     const bool isOlder = report.incarnation < m_state.incarnation();
     if (m_adoptedLevels || report.levels.empty() || !isOlder)
@@ -242,7 +242,7 @@
 
 void peer_exchange::learnOutcomes(timestamp now, const peer_report &report, edge_beliefs &beliefs)
 {
-    for (const crash_note &note : report.crashes)
+    for (const crash_record &note : report.crashes)
         beliefs.crashes.note(now, note.request, note.event);
     for (const release_outcomes &each : report.releases) {
         outcome_counts &seen =
--- a/trefoilrouter/src/edge/request_log.cpp
+++ b/trefoilrouter/src/edge/request_log.cpp
@@ -8,7 +8,7 @@
 
 namespace trefoil {
 
-void request_runner::logUnplaced(timestamp now, const std::optional<work_placement> &best) const
+void request_runner::logUnplaced(timestamp now, const std::optional<server_placement> &best) const
 {
     writeEvent(event_line("proxy", "rejected")
                    .add("request", m_fields.requestId)
@@ -22,7 +22,7 @@
 
 void request_runner::logPlaced(const attempt &current) const
 {
-    const work_placement &placed = current.placed;
+    const server_placement &placed = current.placed;
     writeEvent(event_line("proxy", "placed")
                    .add("request", m_fields.requestId)
                    .add("route", m_route->name)
--- a/trefoilrouter/src/edge/request_runner.cpp
+++ b/trefoilrouter/src/edge/request_runner.cpp
@@ -149,7 +149,7 @@
                    .add("units", m_cost)
                    .add("rate", view.rate)
                    .add("level", view.level)
-                   .add("own_part", view.part)
+                   .add("own_part", view.share)
                    .add("instances_heard", view.heard)
                    .add("instances_known", view.known)
                    .add("wait_ms", toMilliseconds(*wait)));
@@ -173,7 +173,7 @@
     }
 }
 
-work_item request_runner::work() const
+request_profile request_runner::work() const
 {
     const served_service *service = m_tables->findService(m_service);
     const bool isModel = service != nullptr && service->engine.has_value();
@@ -184,12 +184,12 @@
             .prompt = m_fields.prompt,
             .outputTokens = m_fields.outputTokens,
             .tried = m_tried,
-            .barredReleases = m_barredReleases};
+            .excludedReleases = m_barredReleases};
 }
 
-std::optional<work_placement> request_runner::place(timestamp now)
+std::optional<server_placement> request_runner::place(timestamp now)
 {
-    return m_state.with([&](edge_beliefs &beliefs) -> std::optional<work_placement> {
+    return m_state.with([&](edge_beliefs &beliefs) -> std::optional<server_placement> {
         m_barredReleases.clear();
         if (beliefs.releases.request(m_service)) {
             const std::uint64_t bits = hash64(m_fields.requestId);
@@ -202,7 +202,7 @@
     });
 }
 
-bool request_runner::isTooLate(timestamp now, const work_placement &placed) const
+bool request_runner::isTooLate(timestamp now, const server_placement &placed) const
 {
     const double leftMs = toSeconds(m_deadline - now) * 1000;
     return placed.expectedMs > leftMs * usefulPart;
@@ -216,7 +216,7 @@
         if (now >= m_deadline)
             return finalRefusal(attempt_end::TimedOut);
         attempt current;
-        const std::optional<work_placement> placed = place(now);
+        const std::optional<server_placement> placed = place(now);
         if (!placed || isTooLate(now, *placed)) {
             logUnplaced(now, placed);
             if (m_answer)
@@ -227,7 +227,8 @@
             // Room is to be had once the queues have shrunk to what still meets the aim.
             duration wait = shortestRetry * 2;
             if (placed)
-                wait = std::max(wait, fromSeconds(placed->expectedMs / 1000) - m_route->aim);
+                wait =
+                    std::max(wait, fromSeconds(placed->expectedMs / 1000) - m_route->targetLatency);
             return refusal {HTTPResponse::HTTP_SERVICE_UNAVAILABLE,
                             placed ? "overloaded" : "no backend server", spread(wait)};
         }
@@ -292,11 +293,11 @@
         return end;
     m_state.with([&](edge_beliefs &beliefs) {
         if (current.fields.weights)
-            beliefs.board.noteSeenWeights(boot_clock::now(), current.placed.server, m_fields.model,
-                                          *current.fields.weights);
+            beliefs.board.onWeightsObserved(boot_clock::now(), current.placed.server,
+                                            m_fields.model, *current.fields.weights);
         if (current.fields.running)
-            beliefs.board.noteReportedLoad(boot_clock::now(), current.placed.server,
-                                           *current.fields.running, current.fields.waiting);
+            beliefs.board.onLoadReported(boot_clock::now(), current.placed.server,
+                                         *current.fields.running, current.fields.waiting);
     });
     if (current.fields.wasNotRun)
         return takeRejection(current);
@@ -315,7 +316,7 @@
 
 request_runner::attempt_end request_runner::send(attempt &current)
 {
-    const work_placement &placed = current.placed;
+    const server_placement &placed = current.placed;
     const timestamp now = boot_clock::now();
     result<server_connections::taken_connection> taken =
         m_connections.take(placed.server, placed.address, mayRepeat() ? usualIdle : freshIdle,
@@ -380,7 +381,7 @@
     if (outcome != read_outcome::TimedOut)
         return outcome;
     m_state.with([&](edge_beliefs &beliefs) {
-        beliefs.board.noteSilence(boot_clock::now(), current.ticket);
+        beliefs.board.onServerSilent(boot_clock::now(), current.ticket);
     });
     if (first < giveUpAt)
         outcome = current.stream->readMore(giveUpAt, &m_caller);
@@ -475,12 +476,12 @@
         const bool isOther =
             !current.fields.server.empty() && current.fields.server != current.placed.server;
         if (current.fields.isMisdirected && isOther)
-            beliefs.board.noteGone(current.placed.server);
+            beliefs.board.markGone(current.placed.server);
         else if (current.fields.isMisdirected && current.placed.weights > 0)
-            beliefs.board.noteOtherWeights(now, current.placed.server, m_fields.model,
-                                           current.placed.weights);
+            beliefs.board.onWeightsMismatch(now, current.placed.server, m_fields.model,
+                                            current.placed.weights);
         else
-            beliefs.board.noteLoading(current.placed.server,
+            beliefs.board.markLoading(current.placed.server,
                                       now + (current.placed.weights > 0 ? engineRest : plainRest));
     });
     return attempt_end::NotRun;
@@ -505,7 +506,7 @@
     if (end != attempt_end::Delivered)
         return end;
     const timestamp now = boot_clock::now();
-    m_state.with([&](edge_beliefs &beliefs) { beliefs.board.noteFirstEvent(now, current.ticket); });
+    m_state.with([&](edge_beliefs &beliefs) { beliefs.board.onFirstEvent(now, current.ticket); });
     keepConnection(current);
     if (m_headSent)
         return attempt_end::Broken;
@@ -580,7 +581,7 @@
         if (!events.empty() && !current.hasEvents) {
             current.hasEvents = true;
             m_state.with([&](edge_beliefs &beliefs) {
-                beliefs.board.noteFirstEvent(boot_clock::now(), current.ticket);
+                beliefs.board.onFirstEvent(boot_clock::now(), current.ticket);
             });
         }
         if ((!events.empty() || isComplete) && !deliverEvents(current, events, isComplete))
@@ -605,16 +606,16 @@
 
 void request_runner::finish(attempt &current, attempt_end end)
 {
-    work_outcome outcome = work_outcome::Done;
+    attempt_outcome outcome = attempt_outcome::Done;
     if (end == attempt_end::NotRun)
-        outcome = current.wasSent ? work_outcome::Rejected : work_outcome::Unreachable;
+        outcome = current.wasSent ? attempt_outcome::Rejected : attempt_outcome::Unreachable;
     else if (end == attempt_end::Broken)
-        outcome = work_outcome::Lost;
+        outcome = attempt_outcome::Lost;
     else if (end == attempt_end::Failed
              || (end == attempt_end::Delivered && m_status >= firstServerFailure))
-        outcome = work_outcome::Failed;
+        outcome = attempt_outcome::Failed;
     else if (end != attempt_end::Delivered)
-        outcome = work_outcome::Abandoned;
+        outcome = attempt_outcome::Abandoned;
     // Closing tells the server to stop its work.
     if (current.stream && end != attempt_end::Delivered)
         current.stream->abort();
@@ -634,7 +635,7 @@
         return;
     const bool failed = end != attempt_end::Delivered || m_status >= firstServerFailure;
     const duration taken = boot_clock::now() - m_request.receivedAt;
-    const bool slow = m_route->repeats != repeat_rule::Stream && taken > m_route->aim * 2;
+    const bool slow = m_route->repeats != repeat_rule::Stream && taken > m_route->targetLatency * 2;
     m_state.with([&](edge_beliefs &beliefs) {
         if (!beliefs.releases.request(m_service))
             return;
@@ -657,7 +658,7 @@
     if (probe || probe.error().code != connect_errors::refused)
         return;
     const timestamp now = boot_clock::now();
-    const crash_note note {.request = m_bodyDigest, .event = current.placed.server};
+    const crash_record note {.request = m_bodyDigest, .event = current.placed.server};
     m_state.with([&](edge_beliefs &beliefs) {
         beliefs.crashes.note(now, note.request, note.event);
         std::erase_if(beliefs.ownCrashes,
--- a/trefoilrouter/src/edge/request_runner.h
+++ b/trefoilrouter/src/edge/request_runner.h
@@ -60,7 +60,7 @@
     /// State of one attempt.
     struct attempt
     {
-        work_placement placed;
+        server_placement placed;
         std::uint64_t ticket = 0;
         std::optional<byte_stream> stream;
         response_head head;
@@ -89,8 +89,8 @@
     void chooseService();
     std::optional<refusal> serve();
     std::optional<refusal> finalRefusal(attempt_end end) const;
-    std::optional<work_placement> place(timestamp now);
-    bool isTooLate(timestamp now, const work_placement &placed) const;
+    std::optional<server_placement> place(timestamp now);
+    bool isTooLate(timestamp now, const server_placement &placed) const;
     bool mayGoElsewhere(attempt_end end, const attempt &last);
 
     attempt_end runAttempt(attempt &current);
@@ -112,9 +112,9 @@
 
     bool writeOwn(const refusal &why);
     bool writeAnswer();
-    work_item work() const;
+    request_profile work() const;
     bool mayRepeat() const { return m_route->mayRepeat(); }
-    void logUnplaced(timestamp now, const std::optional<work_placement> &best) const;
+    void logUnplaced(timestamp now, const std::optional<server_placement> &best) const;
     void logPlaced(const attempt &current) const;
     void logAttemptEnd(const attempt &current, attempt_end end) const;
     void logEnd(std::string_view outcome, int status) const;
--- a/trefoilrouter/src/edge/store_watch.cpp
+++ b/trefoilrouter/src/edge/store_watch.cpp
@@ -410,7 +410,7 @@
             continue;
         }
         m_state.with([&weights, since](edge_beliefs &beliefs) {
-            beliefs.board.noteNamedWeights(weights->model, weights->version, since);
+            beliefs.board.addAnnouncedWeights(weights->model, weights->version, since);
         });
         writeEvent(event_line("weights", "named")
                        .add("model", weights->model)
