--- a/trefoilrouter/src/edge/caller_session.cpp
+++ b/trefoilrouter/src/edge/caller_session.cpp
@@ -17,24 +17,23 @@
 
 using Poco::Net::HTTPResponse;
 
-/// Connections served at once: more than all callers of a small deployment open together. Each
-/// takes a thread with about 40 KB.
-constexpr int mostConnections = 700;
-/// Connections that may wait to be accepted.
+/// Concurrent connections: more than all callers of a small deployment open together. The thread of
+/// each takes about 40 KB.
+constexpr int maxConnections = 700;
 constexpr int backlog = 512;
 constexpr int threadStackBytes = 256 * 1024;
-/// How soon an idle connection notices that the instance closes.
-constexpr duration closingLatency = std::chrono::seconds(1);
-/// Time for an own answer to be written.
-constexpr duration ownAnswerTime = std::chrono::seconds(1);
-/// A body may pause for this long.
-constexpr duration bodyPause = std::chrono::seconds(3);
+/// Interval at which an idle connection checks whether the instance closes its connections.
+constexpr duration closingCheckInterval = std::chrono::seconds(1);
+/// Time to write an answer that the router itself produced.
+constexpr duration ownAnswerTimeout = std::chrono::seconds(1);
+/// Longest pause while a body is received.
+constexpr duration maxBodyPause = std::chrono::seconds(3);
 
 class caller_connection : public Poco::Net::TCPServerConnection
 {
 public:
     caller_connection(const Poco::Net::StreamSocket &socket, edge_state &state,
-                      server_connections &connections)
+                      server_connection_pool &connections)
         : TCPServerConnection(socket), m_state(state), m_connections(connections)
     { }
 
@@ -49,13 +48,13 @@
 
 private:
     edge_state &m_state;
-    server_connections &m_connections;
+    server_connection_pool &m_connections;
 };
 
-class caller_connections : public Poco::Net::TCPServerConnectionFactory
+class caller_connection_factory : public Poco::Net::TCPServerConnectionFactory
 {
 public:
-    caller_connections(edge_state &state, server_connections &connections)
+    caller_connection_factory(edge_state &state, server_connection_pool &connections)
         : m_state(state), m_connections(connections)
     { }
 
@@ -66,12 +65,12 @@
 
 private:
     edge_state &m_state;
-    server_connections &m_connections;
+    server_connection_pool &m_connections;
 };
 
 } // namespace
 
-caller_session::caller_session(edge_state &state, server_connections &connections,
+caller_session::caller_session(edge_state &state, server_connection_pool &connections,
                                byte_stream caller)
     : m_state(state), m_connections(connections), m_caller(std::move(caller))
 { }
@@ -90,12 +89,12 @@
             return;
         m_state.noteRequest();
         m_state.openRequests() += 1;
-        const bool closes =
+        const bool closesConnection =
             m_state.isLeaving() || !keepsConnection(request->head.headers, request->head.isHttp10);
-        const bool goesOn =
-            request_runner(m_state, m_connections, m_caller, *request, closes).run();
+        const bool keepsOpen =
+            request_runner(m_state, m_connections, m_caller, *request, closesConnection).run();
         m_state.openRequests() -= 1;
-        if (!goesOn) {
+        if (!keepsOpen) {
             m_caller.close();
             return;
         }
@@ -109,7 +108,7 @@
         const timestamp now = boot_clock::now();
         if (now >= end || m_state.isClosing())
             return false;
-        const read_outcome outcome = m_caller.readMore(std::min(end, now + closingLatency));
+        const read_outcome outcome = m_caller.readMore(std::min(end, now + closingCheckInterval));
         if (outcome == read_outcome::Bytes)
             return true;
         if (outcome != read_outcome::TimedOut)
@@ -123,7 +122,7 @@
     const timestamp deadline = boot_clock::now() + bounds.headerTimeout;
     std::string &buffer = m_caller.buffer();
     while (true) {
-        // An empty line before a request is allowed.
+        // Empty lines before a request are allowed.
         while (buffer.starts_with("\r\n"))
             buffer.erase(0, 2);
         const std::size_t end = buffer.find("\r\n\r\n");
@@ -133,12 +132,12 @@
             return true;
         }
         if (buffer.size() > bounds.headerBytes) {
-            refuse(HTTPResponse::HTTP_REQUEST_HEADER_FIELDS_TOO_LARGE, "the head is too large");
+            reject(HTTPResponse::HTTP_REQUEST_HEADER_FIELDS_TOO_LARGE, "the head is too large");
             return false;
         }
         const read_outcome outcome = m_caller.readMore(deadline);
         if (outcome == read_outcome::TimedOut)
-            refuse(HTTPResponse::HTTP_REQUEST_TIMEOUT, "the head came too slowly");
+            reject(HTTPResponse::HTTP_REQUEST_TIMEOUT, "the head came too slowly");
         if (outcome != read_outcome::Bytes)
             return false;
     }
@@ -150,7 +149,7 @@
     std::string &buffer = m_caller.buffer();
     chunked_decoder chunks;
     if (framing.end == body_end::Length && framing.length > bounds.bodyBytes) {
-        refuse(HTTPResponse::HTTP_REQUEST_ENTITY_TOO_LARGE, "the body is too large");
+        reject(HTTPResponse::HTTP_REQUEST_ENTITY_TOO_LARGE, "the body is too large");
         return false;
     }
     while (framing.end != body_end::None) {
@@ -164,17 +163,17 @@
             if (state == chunked_state::Done)
                 return true;
             if (state == chunked_state::Malformed) {
-                refuse(HTTPResponse::HTTP_BAD_REQUEST, "the body is malformed");
+                reject(HTTPResponse::HTTP_BAD_REQUEST, "the body is malformed");
                 return false;
             }
             if (request.body.size() > bounds.bodyBytes) {
-                refuse(HTTPResponse::HTTP_REQUEST_ENTITY_TOO_LARGE, "the body is too large");
+                reject(HTTPResponse::HTTP_REQUEST_ENTITY_TOO_LARGE, "the body is too large");
                 return false;
             }
         }
-        const read_outcome outcome = m_caller.readMore(boot_clock::now() + bodyPause);
+        const read_outcome outcome = m_caller.readMore(boot_clock::now() + maxBodyPause);
         if (outcome == read_outcome::TimedOut)
-            refuse(HTTPResponse::HTTP_REQUEST_TIMEOUT, "the body came too slowly");
+            reject(HTTPResponse::HTTP_REQUEST_TIMEOUT, "the body came too slowly");
         if (outcome != read_outcome::Bytes)
             return false;
     }
@@ -192,45 +191,46 @@
     caller_request request {.receivedAt = boot_clock::now()};
     result<request_head> head = parseRequestHead(text);
     if (!head) {
-        refuse(HTTPResponse::HTTP_BAD_REQUEST, head.error().message);
+        reject(HTTPResponse::HTTP_BAD_REQUEST, head.error().message);
         return std::nullopt;
     }
     request.head = std::move(*head);
     const result<body_framing> framing = framingOf(request.head);
     if (!framing) {
-        refuse(HTTPResponse::HTTP_BAD_REQUEST, framing.error().message);
+        reject(HTTPResponse::HTTP_BAD_REQUEST, framing.error().message);
         return std::nullopt;
     }
     if (request.head.headers.has("Expect")) {
         if (!request.head.headers.hasToken("Expect", "100-continue")) {
-            refuse(HTTPResponse::HTTP_EXPECTATION_FAILED, "the expectation is not known");
+            reject(HTTPResponse::HTTP_EXPECTATION_FAILED, "the expectation is not known");
             return std::nullopt;
         }
         if (m_caller.buffer().empty())
-            m_caller.write("HTTP/1.1 100 Continue\r\n\r\n", boot_clock::now() + ownAnswerTime);
+            m_caller.write("HTTP/1.1 100 Continue\r\n\r\n", boot_clock::now() + ownAnswerTimeout);
     }
     if (!readBody(bounds, *framing, request))
         return std::nullopt;
     return request;
 }
 
-void caller_session::refuse(int status, std::string_view sentence)
+void caller_session::reject(int status, std::string_view message)
 {
-    writeEvent(event_line("proxy", "malformed").add("status", status).add("reason", sentence));
-    m_caller.write(encodeOwnAnswer(status, "", sentence, std::nullopt, true),
-                   boot_clock::now() + ownAnswerTime);
+    writeEvent(event_line("proxy", "malformed").add("status", status).add("reason", message));
+    m_caller.write(encodeOwnAnswer(status, "", message, std::nullopt, true),
+                   boot_clock::now() + ownAnswerTimeout);
     m_caller.close();
 }
 
-child_body callerListener(edge_state &state, server_connections &connections, const endpoint &place)
+child_body callerListener(edge_state &state, server_connection_pool &connections,
+                          const endpoint &address)
 {
-    return listenerChild(place, [&state, &connections, place](const std::stop_token &stop) {
+    return listenerChild(address, [&state, &connections, address](const std::stop_token &stop) {
         Poco::Net::TCPServerParams::Ptr params = new Poco::Net::TCPServerParams;
-        params->setMaxThreads(mostConnections);
+        params->setMaxThreads(maxConnections);
         params->setMaxQueued(backlog);
-        Poco::ThreadPool threads(2, mostConnections, 60, threadStackBytes);
-        Poco::Net::TCPServer server(new caller_connections(state, connections), threads,
-                                    listenOn(place, backlog), params);
+        Poco::ThreadPool threads(2, maxConnections, 60, threadStackBytes);
+        Poco::Net::TCPServer server(new caller_connection_factory(state, connections), threads,
+                                    listenOn(address, backlog), params);
         server.start();
         waitForStop(stop);
         server.stop();
--- a/trefoilrouter/src/edge/caller_session.h
+++ b/trefoilrouter/src/edge/caller_session.h
@@ -7,41 +7,41 @@
 
 #include "edge/edge_state.h"
 #include "edge/request_runner.h"
-#include "edge/server_connections.h"
+#include "edge/server_connection_pool.h"
 
 namespace trefoil {
 
-/// One connection of a caller: reads requests strictly and within bounds, and serves them one after
-/// the other. Used by one thread.
+/// A connection from a caller: parses requests strictly, enforces size and time limits and serves
+/// the requests one after the other. Not thread-safe.
 class caller_session
 {
 public:
     /// Precondition: @p state and @p connections outlive this object.
-    caller_session(edge_state &state, server_connections &connections, byte_stream caller);
+    caller_session(edge_state &state, server_connection_pool &connections, byte_stream caller);
 
-    /// Serves until the connection ends.
+    /// Serves requests until the connection ends.
     void run();
 
 private:
-    /// Reads the next request. Returns nothing where the connection ends; what is wrong was
-    /// answered.
+    /// Reads the next request. Returns nothing when the connection ends; a malformed request was
+    /// answered with an error first.
     std::optional<caller_request> readRequest();
     bool waitForRequest();
     bool readHead(const caller_bounds &bounds, std::string &head);
     bool readBody(const caller_bounds &bounds, const body_framing &framing,
                   caller_request &request);
-    void refuse(int status, std::string_view sentence);
+    void reject(int status, std::string_view message);
     caller_bounds bounds() const;
 
     edge_state &m_state;
-    server_connections &m_connections;
+    server_connection_pool &m_connections;
     byte_stream m_caller;
 };
 
-/// Returns a child that takes callers on @p place until it is stopped, a thread for each
-/// connection. When the instance leaves it goes on taking connections; each answer then ends its
-/// connection. Precondition: @p state and @p connections outlive it.
-child_body callerListener(edge_state &state, server_connections &connections,
-                          const endpoint &place);
+/// Returns a child that accepts callers on @p address until it is stopped, with one thread per
+/// connection. While the instance shuts down it still accepts connections, and each answer closes
+/// its connection. Precondition: @p state and @p connections outlive it.
+child_body callerListener(edge_state &state, server_connection_pool &connections,
+                          const endpoint &address);
 
 } // namespace trefoil
--- a/trefoilrouter/src/edge/edge_handlers.cpp
+++ b/trefoilrouter/src/edge/edge_handlers.cpp
@@ -21,12 +21,12 @@
 using Poco::Net::HTTPServerRequest;
 using Poco::Net::HTTPServerResponse;
 
-/// Callers keep an answer for this long, and some three times as long.
-constexpr duration calmEntryLife = std::chrono::seconds(3);
-/// While an instance is missing, answers change soon.
-constexpr duration troubledEntryLife = std::chrono::seconds(1);
+/// Lifetime of a discovery answer. Some callers keep it for three times as long.
+constexpr duration discoveryLifetime = std::chrono::seconds(3);
+/// Lifetime while an instance is missing, since the answer will change soon.
+constexpr duration degradedDiscoveryLifetime = std::chrono::seconds(1);
 
-/// Answer of a small page.
+/// Response to a GET request.
 struct page
 {
     int status = HTTPResponse::HTTP_OK;
@@ -37,59 +37,64 @@
 class page_handler : public Poco::Net::HTTPRequestHandler
 {
 public:
-    explicit page_handler(std::function<page(const Poco::URI &)> make) : m_make(std::move(make)) { }
+    explicit page_handler(std::function<page(const Poco::URI &)> makePage)
+        : m_makePage(std::move(makePage))
+    { }
 
     void handleRequest(HTTPServerRequest &request, HTTPServerResponse &response) override
     {
-        const page answer = m_make(Poco::URI(request.getURI()));
+        const page answer = m_makePage(Poco::URI(request.getURI()));
         response.setStatus(static_cast<HTTPServerResponse::HTTPStatus>(answer.status));
         response.setContentType(answer.type);
         response.sendBuffer(answer.body.data(), answer.body.size());
     }
 
 private:
-    std::function<page(const Poco::URI &)> m_make;
+    std::function<page(const Poco::URI &)> m_makePage;
 };
 
 class page_factory : public Poco::Net::HTTPRequestHandlerFactory
 {
 public:
-    explicit page_factory(std::function<page(const Poco::URI &)> make) : m_make(std::move(make)) { }
+    explicit page_factory(std::function<page(const Poco::URI &)> makePage)
+        : m_makePage(std::move(makePage))
+    { }
 
     Poco::Net::HTTPRequestHandler *createRequestHandler(const HTTPServerRequest &) override
     {
-        return new page_handler(m_make); // the server deletes it
+        return new page_handler(m_makePage); // the server deletes it
     }
 
 private:
-    std::function<page(const Poco::URI &)> m_make;
+    std::function<page(const Poco::URI &)> m_makePage;
 };
 
-page entryPage(edge_state &state, const std::string &zone)
+page discoveryPage(edge_state &state, const std::string &zone)
 {
     const timestamp now = boot_clock::now();
     std::vector<endpoint> instances;
-    bool isTroubled = false;
-    bool isCutOff = false;
-    state.with([&](edge_beliefs &beliefs) {
-        const std::size_t others = beliefs.members.otherCount();
-        const std::size_t live = beliefs.members.liveOthers(now);
-        isTroubled = live < others;
-        isCutOff = others > 0 && live == 0 && !state.isStoreReachable();
-        instances = beliefs.members.entry(now, zone, state.isReady());
+    bool isDegraded = false;
+    bool isIsolated = false;
+    state.with([&](routing_state &routing) {
+        const std::size_t otherCount = routing.members.otherCount();
+        const std::size_t liveCount = routing.members.liveOthers(now);
+        isDegraded = liveCount < otherCount;
+        isIsolated = otherCount > 0 && liveCount == 0 && !state.isStoreReachable();
+        instances = routing.members.entry(now, zone, state.isReady());
     });
-    // An instance that reaches nobody can't tell which ones live: callers ask another one.
-    if (isCutOff || instances.empty())
+    // An instance that reaches neither a peer nor the store can't tell which instances are alive,
+    // so callers must ask another one.
+    if (isIsolated || instances.empty())
         return {.status = HTTPResponse::HTTP_SERVICE_UNAVAILABLE,
                 .body = "no instance is known to live\n"};
-    const duration life =
-        std::min(isTroubled ? troubledEntryLife : calmEntryLife, state.settings().longestEntryLife);
-    return {.type = "application/json", .body = encodeEntryAnswer(instances, life)};
+    const duration lifetime = std::min(isDegraded ? degradedDiscoveryLifetime : discoveryLifetime,
+                                       state.settings().longestEntryLife);
+    return {.type = "application/json", .body = encodeEntryAnswer(instances, lifetime)};
 }
 
 } // namespace
 
-Poco::SharedPtr<Poco::Net::HTTPRequestHandlerFactory> entryFactory(edge_state &state)
+Poco::SharedPtr<Poco::Net::HTTPRequestHandlerFactory> discoveryFactory(edge_state &state)
 {
     return new page_factory([&state](const Poco::URI &uri) -> page {
         if (uri.getPath() == own_paths::readiness) {
@@ -99,17 +104,17 @@
                     .body = isReady ? "ready\n" : "not ready\n"};
         }
         if (uri.getPath() == own_paths::entry)
-            return entryPage(state, queryValue(uri, "zone"));
+            return discoveryPage(state, queryValue(uri, "zone"));
         return {.status = HTTPResponse::HTTP_NOT_FOUND, .body = "no such page\n"};
     });
 }
 
-Poco::SharedPtr<Poco::Net::HTTPRequestHandlerFactory> peersFactory(edge_state &state,
-                                                                   store_watch &watch)
+Poco::SharedPtr<Poco::Net::HTTPRequestHandlerFactory> peerFactory(edge_state &state,
+                                                                  store_watch &watch)
 {
     return new page_factory([&state, &watch](const Poco::URI &uri) -> page {
         if (uri.getPath() == "/copy")
-            return {.type = "application/json", .body = watch.copyOf(queryValue(uri, "kind"))};
+            return {.type = "application/json", .body = watch.encodeCopy(queryValue(uri, "kind"))};
         if (uri.getPath() == "/metrics") {
             state.metrics()
                 .gaugeOf("trefoil_log_lines_dropped")
--- a/trefoilrouter/src/edge/edge_handlers.h
+++ b/trefoilrouter/src/edge/edge_handlers.h
@@ -8,13 +8,13 @@
 
 namespace trefoil {
 
-/// Answers the platform's question whether the instance is ready, and callers that ask which
-/// instance to use. Precondition: @p state outlives it.
-Poco::SharedPtr<Poco::Net::HTTPRequestHandlerFactory> entryFactory(edge_state &state);
+/// Returns the factory of handlers for the platform's readiness check and for callers' discovery
+/// requests. Precondition: @p state outlives it.
+Poco::SharedPtr<Poco::Net::HTTPRequestHandlerFactory> discoveryFactory(edge_state &state);
 
-/// Serves other instances with copies of the store's objects, and operators with metrics.
-/// Precondition: @p state and @p watch outlive it.
-Poco::SharedPtr<Poco::Net::HTTPRequestHandlerFactory> peersFactory(edge_state &state,
-                                                                   store_watch &watch);
+/// Returns the factory of handlers that serve copies of the store's objects to other instances, and
+/// metrics to operators. Precondition: @p state and @p watch outlive it.
+Poco::SharedPtr<Poco::Net::HTTPRequestHandlerFactory> peerFactory(edge_state &state,
+                                                                  store_watch &watch);
 
 } // namespace trefoil
--- a/trefoilrouter/src/edge/edge_instance.cpp
+++ b/trefoilrouter/src/edge/edge_instance.cpp
@@ -15,32 +15,35 @@
 
 namespace {
 
-/// Threads for orders and questions to servers: as many as load at once in a small pool.
-constexpr int queueThreads = 6;
-/// Threads for tries to connect to servers in doubt: apart from the orders, which waited for
-/// seconds behind tries of dark servers, each of which takes its whole timeout.
+/// Threads that send load orders and state queries to servers: as many as the servers of a small
+/// pool that load at once.
+constexpr int orderThreads = 6;
+/// Threads that probe suspect servers. They are separate from the order threads: a probe of a
+/// server that drops packets takes its whole timeout, and orders waited behind such probes for
+/// seconds.
 constexpr int probeThreads = 6;
-/// Connections that ask for the entry or readiness at once.
-constexpr int entryThreads = 48;
+/// Concurrent discovery and readiness requests.
+constexpr int discoveryThreads = 48;
 constexpr int peerThreads = 8;
-constexpr duration houseEvery = std::chrono::milliseconds(100);
-/// Time for a connection to a server that may be gone; the way there takes a few milliseconds.
+constexpr duration maintenanceInterval = std::chrono::milliseconds(100);
+/// Connect timeout for a server that may be gone; the network latency is a few milliseconds.
 constexpr duration probeTimeout = std::chrono::milliseconds(350);
-/// A connection that a probe opened may be used for this long.
-constexpr duration probedIdleTime = std::chrono::seconds(1);
-/// Wake-ups of which the mean delay is taken, by weight: about a second's.
-constexpr int delayMemory = 20;
-constexpr duration listedCheckEvery = std::chrono::milliseconds(300);
-/// The copy of the list may lack the own entry for this long after it was written: changes are
-/// gathered for up to a second, and reads that may be old are seconds behind.
-constexpr duration listedLag = std::chrono::seconds(3);
-/// Callers hear of the leaving within the life of an entry answer; until then they come.
-constexpr duration leastLeaveTime = std::chrono::milliseconds(4500);
-/// Time for the last answers before the platform kills the process.
+/// How long a connection that a probe opened may be reused.
+constexpr duration probedConnectionLifetime = std::chrono::seconds(1);
+/// Span of the moving average of the delay, in wake-ups: its half-life is a little more than a
+/// second.
+constexpr int delayAverageSpan = 20;
+constexpr duration registrationCheckInterval = std::chrono::milliseconds(300);
+/// How long the copy of the instance list may lack this instance's entry after it was written:
+/// changes are batched for up to a second, and stale reads are seconds behind.
+constexpr duration listReplicationLag = std::chrono::seconds(3);
+/// Callers may keep coming until the discovery answer that named this instance has expired.
+constexpr duration minLeaveTime = std::chrono::milliseconds(4500);
+/// Time reserved for the last answers before the platform kills the process.
 constexpr duration killMargin = std::chrono::milliseconds(400);
-constexpr duration drainStep = std::chrono::milliseconds(50);
-/// Idle connections close within this time once the instance has drained.
-constexpr duration closeTime = std::chrono::milliseconds(100);
+constexpr duration drainPollInterval = std::chrono::milliseconds(50);
+/// Time for idle connections to close once the instance has drained.
+constexpr duration connectionCloseTime = std::chrono::milliseconds(100);
 
 bool isStopSignal(int signal) { return signal == SIGTERM || signal == SIGINT; }
 
@@ -49,41 +52,41 @@
 edge_instance::edge_instance(const platform_settings &settings)
     : m_settings(settings), m_state(settings),
       m_store(settings.store, settings.storeCallsPerSecond), m_watch(m_state, m_store),
-      m_duty(m_state, m_store, m_queue),
-      m_exchange(m_state, m_watch, [this] { return m_duty.view(); })
+      m_leader(m_state, m_store, m_orderQueue),
+      m_exchange(m_state, m_watch, [this] { return m_leader.report(); })
 { }
 
 std::vector<child_spec> edge_instance::children()
 {
     std::vector<child_spec> all = m_watch.children();
     all.push_back({.name = "listed",
-                   .body = [this](const std::stop_token &stop) { return keepListed(stop); }});
-    all.push_back(
-        {.name = "house", .body = [this](const std::stop_token &stop) { return keepHouse(stop); }});
+                   .body = [this](const std::stop_token &stop) { return keepRegistered(stop); }});
+    all.push_back({.name = "maintenance",
+                   .body = [this](const std::stop_token &stop) { return runMaintenance(stop); }});
     all.push_back(m_exchange.child());
-    for (child_spec &worker : m_queue.workers("orders", queueThreads))
+    for (child_spec &worker : m_orderQueue.workers("orders", orderThreads))
         all.push_back(std::move(worker));
-    for (child_spec &worker : m_probes.workers("probes", probeThreads))
+    for (child_spec &worker : m_probeQueue.workers("probes", probeThreads))
         all.push_back(std::move(worker));
-    for (child_spec &each : m_duty.children(m_exchange))
+    for (child_spec &each : m_leader.children(m_exchange))
         all.push_back(std::move(each));
     all.push_back({.name = "peer-listener",
                    .body = httpListener({.place = m_settings.peers,
                                          .threads = peerThreads,
                                          .keepsConnections = false,
-                                         .factory = peersFactory(m_state, m_watch)})});
+                                         .factory = peerFactory(m_state, m_watch)})});
     all.push_back(
         {.name = "callers", .body = callerListener(m_state, m_connections, m_settings.callers)});
     all.push_back({.name = "entry",
                    .body = httpListener({.place = m_settings.entry,
-                                         .threads = entryThreads,
+                                         .threads = discoveryThreads,
                                          .keepsConnections = false,
-                                         .factory = entryFactory(m_state)})});
+                                         .factory = discoveryFactory(m_state)})});
     all.push_back({.name = "readiness",
                    .body = httpListener({.place = m_settings.readiness,
                                          .threads = peerThreads,
                                          .keepsConnections = false,
-                                         .factory = entryFactory(m_state)})});
+                                         .factory = discoveryFactory(m_state)})});
     return all;
 }
 
@@ -94,7 +97,7 @@
                    .add("callers", toString(m_settings.callers))
                    .add("store", toString(m_settings.store))
                    .add("incarnation", m_state.incarnation()));
-    const child_body root =
+    const child_body supervisor =
         supervise({.name = "instance",
                    .children = children(),
                    .onFailure = [](std::string_view child, const error &reason) {
@@ -104,8 +107,8 @@
                    }});
     result<void> outcome;
     std::atomic<bool> ended = false;
-    std::jthread tree([&](const std::stop_token &stop) {
-        outcome = root(stop);
+    std::jthread supervisorThread([&](const std::stop_token &stop) {
+        outcome = supervisor(stop);
         ended = true;
     });
     waitForStop(signals, ended);
@@ -114,11 +117,11 @@
         writeEvent(
             event_line("instance", "stopped").add("open_requests", m_state.openRequests().load()));
         stopEventLog();
-        // Watches of the store block for seconds: nothing is left to be saved, so the process ends
-        // without joining them.
+        // Store watches block for seconds. No state is left to save, so the process exits without
+        // joining their threads.
         std::_Exit(0);
     }
-    tree.join();
+    supervisorThread.join();
     writeEvent(event_line("instance", "failed")
                    .add("reason", outcome ? "all parts ended" : outcome.error().message.c_str()));
     return outcome;
@@ -126,9 +129,9 @@
 
 void edge_instance::waitForStop(const sigset_t &signals, const std::atomic<bool> &ended)
 {
-    constexpr timespec patience {.tv_sec = 0, .tv_nsec = 250'000'000};
+    constexpr timespec pollInterval {.tv_sec = 0, .tv_nsec = 250'000'000};
     while (!ended) {
-        const int signal = sigtimedwait(&signals, nullptr, &patience);
+        const int signal = sigtimedwait(&signals, nullptr, &pollInterval);
         if (isStopSignal(signal))
             return;
         if (signal == SIGHUP)
@@ -149,7 +152,8 @@
         writeEvent(event_line("instance", "reload_failed").add("reason", toString(read.error())));
         return;
     }
-    // Addresses can't change under a running process; bounds are read at the next start.
+    // A running process can't change its addresses, and new bounds apply only after a restart, so
+    // the settings are just checked and logged.
     writeEvent(event_line("instance", "reloaded")
                    .add("store", toString(read->store))
                    .add("same_addresses",
@@ -161,21 +165,21 @@
     const timestamp start = boot_clock::now();
     writeEvent(
         event_line("instance", "leaving").add("open_requests", m_state.openRequests().load()));
-    m_state.leave();
+    m_state.startLeaving();
     m_exchange.sendNow();
-    unlist();
-    const timestamp last = start + m_settings.stopGrace - killMargin;
-    while (boot_clock::now() < last) {
-        const bool hasWaited = boot_clock::now() - start >= leastLeaveTime;
+    unregisterInstance();
+    const timestamp drainDeadline = start + m_settings.stopGrace - killMargin;
+    while (boot_clock::now() < drainDeadline) {
+        const bool hasWaited = boot_clock::now() - start >= minLeaveTime;
         if (hasWaited && m_state.openRequests() == 0)
             break;
-        std::this_thread::sleep_for(drainStep);
+        std::this_thread::sleep_for(drainPollInterval);
     }
-    m_state.close();
-    std::this_thread::sleep_for(closeTime);
+    m_state.closeIdleConnections();
+    std::this_thread::sleep_for(connectionCloseTime);
 }
 
-bool edge_instance::list()
+bool edge_instance::registerInstance()
 {
     const std::string name = store_kinds::instances + m_settings.name;
     const std::string entry =
@@ -187,7 +191,7 @@
                       .capacity = capacityOf(m_settings.processorCores, m_settings.linkMbps)});
     result<std::uint64_t> written = m_store.put(name, entry, 0);
     if (!written && written.error().code == platform_errors::conflict) {
-        // An entry of an earlier start.
+        // An entry from an earlier start of this instance exists.
         const result<object> known = m_store.get(name);
         if (!known)
             return false;
@@ -198,7 +202,7 @@
     return written.has_value();
 }
 
-void edge_instance::unlist()
+void edge_instance::unregisterInstance()
 {
     const std::string name = store_kinds::instances + m_settings.name;
     const result<object> known = m_store.get(name);
@@ -208,19 +212,20 @@
                    .add("outcome", removed ? "ok" : removed.error().code.c_str()));
 }
 
-result<void> edge_instance::keepListed(const std::stop_token &stop)
+result<void> edge_instance::keepRegistered(const std::stop_token &stop)
 {
-    bool isListed = false;
-    timestamp listedAt {};
+    bool isRegistered = false;
+    timestamp registeredAt {};
     while (!stop.stop_requested()) {
-        // An entry that another instance removed, taking this one for dead, is written again.
+        // Another instance may have removed the entry because it considered this one dead.
         const timestamp now = boot_clock::now();
-        const bool isLost = now - listedAt > listedLag && m_watch.lacksInstance(m_settings.name);
-        if (!m_state.isLeaving() && (!isListed || isLost)) {
-            isListed = list();
-            listedAt = now;
+        const bool isMissing =
+            now - registeredAt > listReplicationLag && m_watch.lacksInstance(m_settings.name);
+        if (!m_state.isLeaving() && (!isRegistered || isMissing)) {
+            isRegistered = registerInstance();
+            registeredAt = now;
         }
-        std::this_thread::sleep_for(listedCheckEvery);
+        std::this_thread::sleep_for(registrationCheckInterval);
     }
     return {};
 }
@@ -228,44 +233,44 @@
 void edge_instance::probeServers(timestamp now)
 {
     const std::vector<registered_server> due =
-        m_state.with([now](edge_beliefs &beliefs) { return beliefs.board.serversToProbe(now); });
+        m_state.with([now](routing_state &routing) { return routing.board.serversToProbe(now); });
     for (const registered_server &server : due)
-        m_probes.post([this, server] { probe(server); });
+        m_probeQueue.post([this, server] { probe(server); });
 }
 
 void edge_instance::probe(const registered_server &server)
 {
     result<byte_stream> stream = byte_stream::connect(server.address, probeTimeout);
     m_state.with(
-        [&](edge_beliefs &beliefs) { beliefs.board.noteProbe(server.id, stream.has_value()); });
+        [&](routing_state &routing) { routing.board.noteProbe(server.id, stream.has_value()); });
     writeEvent(event_line("servers", "server_probed")
                    .add("server", server.id)
                    .add("reachable", stream.has_value())
                    .add("reason", stream ? "" : stream.error().code.c_str()));
     if (stream)
-        m_connections.giveBack(server.id, std::move(*stream), probedIdleTime);
+        m_connections.release(server.id, std::move(*stream), probedConnectionLifetime);
 }
 
-void edge_instance::noteDelay(duration delay)
+void edge_instance::recordSchedulingDelay(duration delay)
 {
-    m_delay += (delay - m_delay) / delayMemory;
-    m_state.with([&](edge_beliefs &beliefs) {
-        beliefs.ownDelay = m_delay;
-        beliefs.members.noteDelay(m_settings.name, m_delay);
+    m_meanSchedulingDelay += (delay - m_meanSchedulingDelay) / delayAverageSpan;
+    m_state.with([&](routing_state &routing) {
+        routing.schedulingDelay = m_meanSchedulingDelay;
+        routing.members.noteDelay(m_settings.name, m_meanSchedulingDelay);
     });
 }
 
-result<void> edge_instance::keepHouse(const std::stop_token &stop)
+result<void> edge_instance::runMaintenance(const std::stop_token &stop)
 {
     while (!stop.stop_requested()) {
         const timestamp now = boot_clock::now();
         m_connections.prune(now);
         m_watch.dropLapsed(now);
-        m_watch.fetchOverdue(now);
+        m_watch.fetchStaleCopies(now);
         probeServers(now);
-        const timestamp asleep = boot_clock::now();
-        std::this_thread::sleep_for(houseEvery);
-        noteDelay(boot_clock::now() - asleep - houseEvery);
+        const timestamp sleepStart = boot_clock::now();
+        std::this_thread::sleep_for(maintenanceInterval);
+        recordSchedulingDelay(boot_clock::now() - sleepStart - maintenanceInterval);
     }
     return {};
 }
--- a/trefoilrouter/src/edge/edge_state.cpp
+++ b/trefoilrouter/src/edge/edge_state.cpp
@@ -8,48 +8,50 @@
 
 namespace {
 
-/// Part of the allowed retries that instances use: the rest covers arrivals that fall into another
-/// window than the requests that earned them.
-constexpr double budgetUse = 0.85;
-/// Instances that share the extra retries at the least: the list may be short for a moment.
-constexpr std::size_t leastSharers = 8;
-
-double extraRetriesOf(const platform_settings &settings, std::size_t instances)
+/// Fraction of the allowed retries that instances use. The rest covers retries that arrive in a
+/// later window than the requests that earned them.
+constexpr double usableRetryFraction = 0.85;
+/// Minimum number of instances among which the extra retries are divided: the instance list may be
+/// incomplete for a moment.
+constexpr std::size_t minRetrySharers = 8;
+
+double extraRetriesPerInstance(const platform_settings &settings, std::size_t instances)
 {
-    return settings.extraRetries * budgetUse
-        / static_cast<double>(std::max(instances, leastSharers));
+    return settings.extraRetries * usableRetryFraction
+        / static_cast<double>(std::max(instances, minRetrySharers));
 }
 
-/// A placed request may wait this long at its server before it begins, under a burst.
-constexpr duration longestServerWait = std::chrono::milliseconds(1500);
+/// Time that a placed request may wait at its server during a burst before it starts.
+constexpr duration maxServerWait = std::chrono::milliseconds(1500);
 
-retry_window_options budgetOptionsOf(const platform_settings &settings)
+retry_window_options retryBudgetOptionsOf(const platform_settings &settings)
 {
     return {.length = settings.retryWindow,
-            .retriesPerRequest = settings.retriesPerRequest * budgetUse,
-            .extra = extraRetriesOf(settings, leastSharers)};
+            .retriesPerRequest = settings.retriesPerRequest * usableRetryFraction,
+            .extra = extraRetriesPerInstance(settings, minRetrySharers)};
 }
 
 } // namespace
 
-edge_beliefs::edge_beliefs(const platform_settings &settings)
+routing_state::routing_state(const platform_settings &settings)
     : board({.zone = settings.zone,
              .randomSeed = hash64(settings.name),
-             .olderWeightsLimit = settings.weightsDeadline - longestServerWait}),
+             .olderWeightsLimit = settings.weightsDeadline - maxServerWait}),
       limits({.window = settings.limitWindow}),
       members({.self = settings.name, .zone = settings.zone}),
-      releases({.trialShare = settings.exposeShare / 2}), budgetOptions(budgetOptionsOf(settings))
+      releases({.trialShare = settings.exposeShare / 2}),
+      retryBudgetOptions(retryBudgetOptionsOf(settings))
 { }
 
-void edge_beliefs::shareRetries(const platform_settings &settings, std::size_t instances)
+void routing_state::divideExtraRetries(const platform_settings &settings, std::size_t instances)
 {
-    budgetOptions.extra = extraRetriesOf(settings, instances);
-    for (auto it = budgets.begin(); it != budgets.end(); ++it)
-        it->second.setExtra(budgetOptions.extra);
+    retryBudgetOptions.extra = extraRetriesPerInstance(settings, instances);
+    for (auto it = retryBudgets.begin(); it != retryBudgets.end(); ++it)
+        it->second.setExtra(retryBudgetOptions.extra);
 }
 
 edge_state::edge_state(const platform_settings &settings)
-    : m_settings(settings), m_incarnation(wallMilliseconds()), m_beliefs(settings)
+    : m_settings(settings), m_incarnation(wallMilliseconds()), m_routing(settings)
 { }
 
 std::shared_ptr<const serving_tables> edge_state::tables() const
--- a/trefoilrouter/src/edge/edge_state.h
+++ b/trefoilrouter/src/edge/edge_state.h
@@ -23,36 +23,39 @@
 
 namespace trefoil {
 
-/// What the instance believes and decides with: pure state machines, driven by all threads one at a
-/// time.
-struct edge_beliefs
+/// State that routing decisions read and update. It does no I/O; edge_state::with() serialises
+/// access from all threads.
+struct routing_state
 {
-    explicit edge_beliefs(const platform_settings &settings);
+    explicit routing_state(const platform_settings &settings);
 
     load_board board;
     team_limits limits;
     member_table members;
     release_shares releases;
     crash_ledger crashes;
-    /// Crashes seen here, told to the others until they are old.
-    std::vector<std::pair<timestamp, crash_note>> ownCrashes;
-    /// Retries by service.
-    std::map<std::string, retry_window, std::less<>> budgets;
-    retry_window_options budgetOptions;
-    /// Shares the extra retries between @p instances.
-    void shareRetries(const platform_settings &settings, std::size_t instances);
-    /// Servers that another holder of the duty loads, with the time of its last report of it.
-    std::map<std::string, timestamp, std::less<>> orderedElsewhere;
-    /// Mean time for which this instance's threads wait for its processor.
-    duration ownDelay {};
-    /// When the platform's store was heard here, and by any instance.
-    timestamp ownStoreHeardAt;
+    /// Crashes seen by this instance, repeated in its reports until they expire.
+    std::vector<std::pair<timestamp, crash_note>> localCrashes;
+    /// Retry budgets by service.
+    std::map<std::string, retry_window, std::less<>> retryBudgets;
+    retry_window_options retryBudgetOptions;
+    /// Divides the extra retries of the fleet among @p instances.
+    void divideExtraRetries(const platform_settings &settings, std::size_t instances);
+    /// Servers on which another leader loads weights, by id, with the time it last reported the
+    /// load.
+    std::map<std::string, timestamp, std::less<>> loadingElsewhere;
+    /// Mean time for which this instance's threads wait for the processor.
+    duration schedulingDelay {};
+    /// When the platform's store last answered this instance.
+    timestamp storeAnsweredAt;
+    /// Store outages, from the answers that any instance got.
     outage_clock storeOutage;
-    /// Outcomes on releases that are moved to, told to the others.
-    std::map<std::string, release_outcomes, std::less<>> ownOutcomes;
+    /// Request outcomes per release under rollout, counted here and reported to the other
+    /// instances.
+    std::map<std::string, release_outcomes, std::less<>> localOutcomes;
 };
 
-/// State of one instance on the platform that its threads share. All methods are thread-safe.
+/// State of one instance that all of its threads share. All methods are thread-safe.
 class edge_state
 {
 public:
@@ -63,58 +66,59 @@
     /// Returns the start of the process in milliseconds since 1970.
     std::uint64_t incarnation() const { return m_incarnation; }
 
-    /// Returns the configuration in force, or nullptr before the first.
+    /// Returns the active configuration, or nullptr before the first one was published.
     std::shared_ptr<const serving_tables> tables() const;
-    /// Puts @p tables in force unless an equal or newer version is. Returns whether it did.
+    /// Activates @p tables unless an equal or newer version is active. Returns whether it did.
     bool publish(std::shared_ptr<const serving_tables> tables);
-    /// Returns how long ago the configuration in force was published.
+    /// Returns how long ago the active configuration was published.
     duration tablesAge(timestamp now) const;
 
-    /// Calls @p use with the beliefs, alone. Don't block in it.
+    /// Calls @p use with the routing state under its lock and returns its result. @p use must not
+    /// block.
     template <typename Use>
     auto with(Use &&use)
     {
         const std::lock_guard<std::mutex> lock(m_mutex);
-        return use(m_beliefs);
+        return use(m_routing);
     }
 
-    /// Returns whether the instance stops and takes no new callers.
+    /// Returns whether the instance is shutting down and directs new callers to other instances.
     bool isLeaving() const { return m_isLeaving; }
-    /// Starts leaving.
-    void leave()
+    /// Starts the shutdown.
+    void startLeaving()
     {
-        m_leftAt = boot_clock::now();
+        m_leavingSince = boot_clock::now();
         m_isLeaving = true;
     }
-    /// Returns whether so much of the time to stop is over that a new request might be cut.
+    /// Returns whether too little of the shutdown time is left to finish a new request.
     bool isTooLateToServe() const
     {
-        return m_isLeaving && boot_clock::now() - m_leftAt.load() > lateLeaveTime;
+        return m_isLeaving && boot_clock::now() - m_leavingSince.load() > maxServeTimeAfterStop;
     }
-    /// Returns whether idle connections are to be closed.
+    /// Returns whether idle connections must be closed.
     bool isClosing() const { return m_isClosing; }
-    /// Closes idle connections: all callers have had time to go elsewhere.
-    void close() { m_isClosing = true; }
-    /// Notes that the store answered this instance.
-    void noteStoreHeard(timestamp now)
+    /// Closes idle connections: all callers have had time to switch to another instance.
+    void closeIdleConnections() { m_isClosing = true; }
+    /// Records that the store answered this instance.
+    void noteStoreAnswer(timestamp now)
     {
-        with([now](edge_beliefs &beliefs) {
-            beliefs.ownStoreHeardAt = now;
-            beliefs.storeOutage.noteHeard(now);
+        with([now](routing_state &routing) {
+            routing.storeAnsweredAt = now;
+            routing.storeOutage.noteHeard(now);
         });
     }
-    /// Returns whether the store answered lately.
+    /// Returns whether the store answers.
     bool isStoreReachable() const { return m_isStoreReachable; }
-    /// Notes whether the store answers.
+    /// Records whether the store answers.
     void setStoreReachable(bool reachable) { m_isStoreReachable = reachable; }
-    /// Returns whether callers can be served.
+    /// Returns whether the instance has a configuration and is not shutting down.
     bool isReady() const;
 
-    /// Notes that a caller's request was read.
+    /// Records that a caller's request was read.
     void noteRequest() { m_lastRequestAt = boot_clock::now(); }
-    /// Returns when the last one was.
+    /// Returns when the last caller's request was read.
     timestamp lastRequestAt() const { return m_lastRequestAt; }
-    /// Counts requests that are being served.
+    /// Number of requests in progress.
     std::atomic<int> &openRequests() { return m_openRequests; }
     /// Returns the metrics of the process.
     metric_registry &metrics() { return m_metrics; }
@@ -126,12 +130,12 @@
     std::shared_ptr<const serving_tables> m_tables;
     timestamp m_publishedAt;
     std::mutex m_mutex;
-    edge_beliefs m_beliefs;
-    /// Callers that come later after the stop signal are sent elsewhere at once: a request may last
-    /// longer than what is left of the usual eight seconds.
-    static constexpr duration lateLeaveTime = std::chrono::milliseconds(2800);
+    routing_state m_routing;
+    /// Requests that arrive later than this after the stop signal are refused: they may take longer
+    /// than what is left of the usual grace period of 8 s.
+    static constexpr duration maxServeTimeAfterStop = std::chrono::milliseconds(2800);
 
-    std::atomic<timestamp> m_leftAt {timestamp {}};
+    std::atomic<timestamp> m_leavingSince {timestamp {}};
     std::atomic<timestamp> m_lastRequestAt {timestamp {}};
     std::atomic<bool> m_isLeaving = false;
     std::atomic<bool> m_isClosing = false;
--- a/trefoilrouter/src/edge/duty_runner.cpp
+++ b/trefoilrouter/src/edge/leader_runner.cpp
@@ -1,4 +1,4 @@
-#include "edge/duty_runner.h"
+#include "edge/leader_runner.h"
 
 #include <thread>
 
@@ -10,26 +10,28 @@
 
 namespace {
 
-/// Time between steps: far below the time of a load.
-constexpr duration stepEvery = std::chrono::milliseconds(50);
-/// An order is answered within milliseconds; silence for this long means that its fate is unknown.
-constexpr duration orderAnswerTime = std::chrono::milliseconds(900);
-constexpr duration reportAnswerTime = std::chrono::milliseconds(600);
-/// A server under order gets no requests until it reports the new weights, at most for this long.
-constexpr duration loadingTime = std::chrono::seconds(6);
-/// An instance silent for this long is taken off the list; it lists itself again if it lives.
-constexpr duration deadMemberTime = std::chrono::seconds(8);
-/// Time for a round of waiting calls to the stores of KV cache, the least of one, which the
-/// platform charges when it is shorter, and the pause between calls that don't wait.
-constexpr duration storePatience = std::chrono::milliseconds(800);
-constexpr duration leastPatience = std::chrono::milliseconds(250);
-constexpr duration storePause = std::chrono::milliseconds(400);
-/// Margin on the platform's bound for two holders.
+/// Interval between steps: far shorter than a load of weights.
+constexpr duration stepInterval = std::chrono::milliseconds(50);
+/// Orders are answered within milliseconds. After this time it is unknown whether the server
+/// accepted the order.
+constexpr duration orderTimeout = std::chrono::milliseconds(900);
+constexpr duration stateQueryTimeout = std::chrono::milliseconds(600);
+/// Longest time for which a server that was ordered to load gets no requests; it ends early when
+/// the server reports the new weights.
+constexpr duration maxLoadingTime = std::chrono::seconds(6);
+/// Silence after which an instance is removed from the list; it registers again if it is alive.
+constexpr duration deadMemberSilence = std::chrono::seconds(8);
+/// Time for one round of long polls of the KV cache stores, the minimum per poll (the platform
+/// charges for shorter ones), and the pause between rounds that return early.
+constexpr duration cacheStoreWaitTime = std::chrono::milliseconds(800);
+constexpr duration minCacheStoreWaitTime = std::chrono::milliseconds(250);
+constexpr duration cacheStorePause = std::chrono::milliseconds(400);
+/// Added to the time that the platform requires between two leaders.
 constexpr duration quietMargin = std::chrono::milliseconds(300);
 
-const std::string dutyObject = std::string(store_kinds::duties) + "weights";
+const std::string leaseObject = std::string(store_kinds::duties) + "weights";
 
-std::string_view wordOf(order_answer answer)
+std::string_view answerName(order_answer answer)
 {
     constexpr std::array<std::string_view, 4> words {"accepted", "conflict", "refused", "unknown"};
     return words[static_cast<std::size_t>(answer)];
@@ -37,14 +39,14 @@
 
 } // namespace
 
-duty_runner::duty_runner(edge_state &state, store_client &store, work_queue &queue)
+leader_runner::leader_runner(edge_state &state, store_client &store, work_queue &queue)
     : m_state(state), m_store(store), m_queue(queue),
       m_lease({.self = state.settings().name,
                .quietTime = state.settings().dutyQuietTime + quietMargin}),
       m_plan({})
 { }
 
-std::vector<child_spec> duty_runner::children(peer_exchange &exchange)
+std::vector<child_spec> leader_runner::children(peer_exchange &exchange)
 {
     return {
         {.name = "duty",
@@ -53,73 +55,75 @@
          .body = [this](const std::stop_token &stop) { return watchCacheStores(stop); }}};
 }
 
-result<void> duty_runner::watchCacheStores(const std::stop_token &stop)
+result<void> leader_runner::watchCacheStores(const std::stop_token &stop)
 {
     while (!stop.stop_requested()) {
         const std::vector<endpoint> stores =
-            m_state.with([](edge_beliefs &beliefs) { return beliefs.board.cacheStores(); });
-        bool isHolder = false;
+            m_state.with([](routing_state &routing) { return routing.board.cacheStores(); });
+        bool isLeader = false;
         {
             const std::lock_guard<std::mutex> lock(m_mutex);
-            isHolder = m_lease.holds(boot_clock::now());
-            if (!isHolder)
-                m_storeEpochs.clear();
+            isLeader = m_lease.holds(boot_clock::now());
+            if (!isLeader)
+                m_cacheStoreEpochs.clear();
         }
-        if (stores.empty() || !isHolder) {
-            std::this_thread::sleep_for(storePause);
+        if (stores.empty() || !isLeader) {
+            std::this_thread::sleep_for(cacheStorePause);
             continue;
         }
         const timestamp start = boot_clock::now();
         for (const endpoint &store : stores)
-            askCacheStore(store,
-                          std::max(storePatience / static_cast<int>(stores.size()), leastPatience));
-        // Calls that don't wait are charged as health checks.
-        if (boot_clock::now() - start < storePause)
-            std::this_thread::sleep_for(storePause);
+            pollCacheStore(store,
+                           std::max(cacheStoreWaitTime / static_cast<int>(stores.size()),
+                                    minCacheStoreWaitTime));
+        // The platform charges calls that return at once as health checks.
+        if (boot_clock::now() - start < cacheStorePause)
+            std::this_thread::sleep_for(cacheStorePause);
     }
     return {};
 }
 
-void duty_runner::askCacheStore(const endpoint &store, duration patience)
+void leader_runner::pollCacheStore(const endpoint &store, duration waitTime)
 {
-    const result<std::uint64_t> epoch = readCacheStoreEpoch(store, patience);
+    const result<std::uint64_t> epoch = readCacheStoreEpoch(store, waitTime);
     const std::string address = toString(store);
     m_state.with(
-        [&](edge_beliefs &beliefs) { beliefs.board.noteStoreState(address, epoch.value_or(0)); });
+        [&](routing_state &routing) { routing.board.noteStoreState(address, epoch.value_or(0)); });
     const std::lock_guard<std::mutex> lock(m_mutex);
-    const auto before = m_storeEpochs.find(address);
-    if (before != m_storeEpochs.end() && (before->second != 0) != epoch.has_value())
+    const auto before = m_cacheStoreEpochs.find(address);
+    if (before != m_cacheStoreEpochs.end() && (before->second != 0) != epoch.has_value())
         writeEvent(event_line("store", epoch ? "dependency_regained" : "dependency_lost")
                        .add("dependency", "kv-cache store")
                        .add("address", address)
                        .add("reason", epoch ? "" : epoch.error().message.c_str()));
-    m_storeEpochs[address] = epoch.value_or(0);
+    m_cacheStoreEpochs[address] = epoch.value_or(0);
 }
 
-result<void> duty_runner::run(const std::stop_token &stop, peer_exchange &exchange)
+result<void> leader_runner::run(const std::stop_token &stop, peer_exchange &exchange)
 {
     while (!stop.stop_requested()) {
-        // A holder that others don't hear of is looked for by all of them.
+        // Without this report all other instances would look for a new leader.
         if (keepLease())
             exchange.sendNow();
         planWeights(exchange);
         reportRollouts();
-        dropDeadMembers();
-        std::this_thread::sleep_for(stepEvery);
+        removeDeadMembers();
+        std::this_thread::sleep_for(stepInterval);
     }
     return {};
 }
 
-duty_view duty_runner::view()
+leader_report leader_runner::report()
 {
     const timestamp now = boot_clock::now();
     const std::lock_guard<std::mutex> lock(m_mutex);
     if (!m_lease.holds(now))
         return {};
-    return {.epoch = m_lease.epoch(), .loading = m_plan.loading(), .storeEpochs = m_storeEpochs};
+    return {
+        .epoch = m_lease.epoch(), .loading = m_plan.loading(), .storeEpochs = m_cacheStoreEpochs};
 }
 
-bool duty_runner::keepLease()
+bool leader_runner::keepLease()
 {
     const timestamp now = boot_clock::now();
     duty_step step = duty_step::None;
@@ -129,15 +133,15 @@
         int rank = 0;
         bool isHolderAlive = false;
         bool isListed = false;
-        m_state.with([&](edge_beliefs &beliefs) {
-            rank = beliefs.members.rank(now);
-            isListed = beliefs.members.listsSelf();
+        m_state.with([&](routing_state &routing) {
+            rank = routing.members.rank(now);
+            isListed = routing.members.listsSelf();
             isHolderAlive = m_lease.isKnown()
-                ? beliefs.members.holdsDuty(now, record.holder, record.epoch)
-                : beliefs.members.hearsHolder(now);
+                ? routing.members.holdsDuty(now, record.holder, record.epoch)
+                : routing.members.hearsHolder(now);
         });
-        // While an order is on its way the duty can't be given up.
-        const bool mayHold = !m_state.isLeaving() || m_ordersOnTheWay > 0;
+        // The lease can't be given up while an order is in flight.
+        const bool mayHold = !m_state.isLeaving() || m_ordersInFlight > 0;
         const bool isReady = m_state.tables() && (isListed || m_lease.isKnown());
         step = isReady ? m_lease.next(now, rank, isHolderAlive, mayHold) : duty_step::None;
     }
@@ -146,31 +150,31 @@
     else if (step == duty_step::Write)
         writeLease(m_state.isLeaving());
     const std::lock_guard<std::mutex> lock(m_mutex);
-    const bool isHeld = m_lease.holds(boot_clock::now());
-    const bool hasChanged = isHeld != m_wasHeld;
+    const bool isLeader = m_lease.holds(boot_clock::now());
+    const bool hasChanged = isLeader != m_wasLeader;
     if (hasChanged)
-        writeEvent(event_line("duty", isHeld ? "lease_gained" : "lease_lost")
+        writeEvent(event_line("duty", isLeader ? "lease_gained" : "lease_lost")
                        .add("epoch", m_lease.epoch())
                        .add("revision", m_lease.revision())
                        .add("holder", m_lease.record().holder));
-    m_wasHeld = isHeld;
+    m_wasLeader = isLeader;
     return hasChanged;
 }
 
-bool duty_runner::knowsOrdersOf(const duty_record &holder)
+bool leader_runner::knowsOrdersOf(const duty_record &holder)
 {
-    return m_state.with([&holder](edge_beliefs &beliefs) {
-        return beliefs.members.heardDuty(holder.holder, holder.epoch);
+    return m_state.with([&holder](routing_state &routing) {
+        return routing.members.heardDuty(holder.holder, holder.epoch);
     });
 }
 
-std::map<std::string, std::uint64_t, std::less<>> duty_runner::namedTimes()
+std::map<std::string, std::uint64_t, std::less<>> leader_runner::weightsNamedTimes()
 {
     const timestamp now = boot_clock::now();
     const std::uint64_t wall = wallMilliseconds();
     std::map<std::string, std::uint64_t, std::less<>> times;
-    m_state.with([&](edge_beliefs &beliefs) {
-        const auto &named = beliefs.board.namedWeights();
+    m_state.with([&](routing_state &routing) {
+        const auto &named = routing.board.namedWeights();
         for (auto model = named.begin(); model != named.end(); ++model) {
             for (auto it = model->second.begin(); it != model->second.end(); ++it)
                 times[weightsKey(model->first, it->first)] =
@@ -180,27 +184,27 @@
     return times;
 }
 
-void duty_runner::takeNamedTimes(const duty_record &record)
+void leader_runner::applyNamedTimes(const duty_record &record)
 {
     const timestamp now = boot_clock::now();
     const std::uint64_t wall = wallMilliseconds();
-    m_state.with([&](edge_beliefs &beliefs) {
+    m_state.with([&](routing_state &routing) {
         for (auto it = record.namedAtMs.begin(); it != record.namedAtMs.end(); ++it) {
             const std::optional<weights_name> name = parseWeightsKey(it->first);
             if (name && it->second <= wall)
-                beliefs.board.noteNamedWeights(name->model, name->version,
+                routing.board.noteNamedWeights(name->model, name->version,
                                                now - std::chrono::milliseconds(wall - it->second));
         }
     });
 }
 
-void duty_runner::readLease()
+void leader_runner::readLease()
 {
-    const result<object> got = m_store.get(dutyObject);
+    const result<object> got = m_store.get(leaseObject);
     if (got) {
         const std::optional<duty_record> record = dutyFromText(got->value);
         if (record)
-            takeNamedTimes(*record);
+            applyNamedTimes(*record);
     }
     const std::lock_guard<std::mutex> lock(m_mutex);
     const timestamp now = boot_clock::now();
@@ -210,7 +214,7 @@
         m_lease.onRead(now, std::nullopt, 0);
 }
 
-void duty_runner::writeLease(bool release)
+void leader_runner::writeLease(bool release)
 {
     duty_record record;
     duty_record before;
@@ -221,11 +225,11 @@
         record = m_lease.startWrite(boot_clock::now(), release);
         revision = m_lease.revision();
     }
-    record.namedAtMs = namedTimes();
+    record.namedAtMs = weightsNamedTimes();
     const bool knowsOrders = knowsOrdersOf(before);
-    const result<std::uint64_t> written = m_store.put(dutyObject, toText(record), revision);
+    const result<std::uint64_t> written = m_store.put(leaseObject, toText(record), revision);
     if (written)
-        m_state.noteStoreHeard(boot_clock::now());
+        m_state.noteStoreAnswer(boot_clock::now());
     const std::lock_guard<std::mutex> lock(m_mutex);
     m_lease.onWritten(boot_clock::now(),
                       written ? std::optional<std::uint64_t>(*written) : std::nullopt, knowsOrders);
@@ -236,10 +240,10 @@
                        .add("reason", written.error().code));
 }
 
-void duty_runner::planWeights(peer_exchange &exchange)
+void leader_runner::planWeights(peer_exchange &exchange)
 {
     const timestamp now = boot_clock::now();
-    weights_plan::actions due;
+    weights_plan::actions planned;
     {
         const std::lock_guard<std::mutex> lock(m_mutex);
         if (!m_lease.mayAct(now) || m_state.isLeaving())
@@ -249,73 +253,73 @@
             m_planEpoch = m_lease.epoch();
         }
         std::vector<registered_server> servers;
-        weights_plan::inputs known;
+        weights_plan::inputs planInputs;
         const duration quietTime = m_state.settings().dutyQuietTime + quietMargin;
-        m_state.with([&](edge_beliefs &beliefs) {
-            servers = beliefs.board.servers();
-            known.newest = beliefs.board.newestWeights();
-            for (std::string &server : beliefs.board.unreachableServers())
-                known.unreachable.insert(std::move(server));
+        m_state.with([&](routing_state &routing) {
+            servers = routing.board.servers();
+            planInputs.newest = routing.board.newestWeights();
+            for (std::string &server : routing.board.unreachableServers())
+                planInputs.unreachable.insert(std::move(server));
             for (const registered_server &server : servers)
-                known.running[server.id] = beliefs.board.totalLoad(now, server.id).running;
-            for (auto it = beliefs.orderedElsewhere.begin(); it != beliefs.orderedElsewhere.end();
+                planInputs.running[server.id] = routing.board.totalLoad(now, server.id).running;
+            for (auto it = routing.loadingElsewhere.begin(); it != routing.loadingElsewhere.end();
                  ++it)
-                known.barredUntil[it->first] = it->second + quietTime;
+                planInputs.barredUntil[it->first] = it->second + quietTime;
         });
-        known.servers = servers;
-        due = m_plan.next(now, m_lease.epoch(), known);
+        planInputs.servers = servers;
+        planned = m_plan.next(now, m_lease.epoch(), planInputs);
     }
-    if (!due.orders.empty()) {
-        m_state.with([&](edge_beliefs &beliefs) {
-            for (const weights_order &each : due.orders)
-                beliefs.board.noteLoading(each.server, now + loadingTime);
+    if (!planned.orders.empty()) {
+        m_state.with([&](routing_state &routing) {
+            for (const weights_order &each : planned.orders)
+                routing.board.noteLoading(each.server, now + maxLoadingTime);
         });
         exchange.sendNow();
     }
-    for (const weights_order &each : due.orders) {
-        m_ordersOnTheWay += 1;
-        m_queue.post([this, each] { order(each); });
+    for (const weights_order &each : planned.orders) {
+        m_ordersInFlight += 1;
+        m_queue.post([this, each] { executeOrder(each); });
     }
-    for (const registered_server &server : due.questions)
-        m_queue.post([this, server] { ask(server); });
+    for (const registered_server &server : planned.questions)
+        m_queue.post([this, server] { queryServer(server); });
 }
 
-void duty_runner::order(const weights_order &each)
+void leader_runner::executeOrder(const weights_order &order)
 {
     order_answer answer = order_answer::Unknown;
     bool mayAct = false;
     {
-        // The queue or a pause may have taken longer than the lease lives.
+        // The lease may have expired while the order was queued or the process was suspended.
         const std::lock_guard<std::mutex> lock(m_mutex);
-        mayAct = m_lease.mayAct(boot_clock::now()) && m_lease.epoch() == each.epoch;
+        mayAct = m_lease.mayAct(boot_clock::now()) && m_lease.epoch() == order.epoch;
     }
     if (mayAct)
-        answer = sendOrder(each, m_state.settings().name, orderAnswerTime);
+        answer = sendOrder(order, m_state.settings().name, orderTimeout);
     const timestamp now = boot_clock::now();
     {
         const std::lock_guard<std::mutex> lock(m_mutex);
-        m_plan.onAnswer(now, each.server, answer);
+        m_plan.onAnswer(now, order.server, answer);
     }
     if (answer != order_answer::Accepted)
-        m_state.with([&](edge_beliefs &beliefs) { beliefs.board.noteLoading(each.server, now); });
-    m_ordersOnTheWay -= 1;
+        m_state.with([&](routing_state &routing) { routing.board.noteLoading(order.server, now); });
+    m_ordersInFlight -= 1;
     writeEvent(event_line("duty", "weights_ordered")
-                   .add("server", each.server)
-                   .add("model", each.model)
-                   .add("version", each.version)
-                   .add("expected_orders", each.expectedOrders)
-                   .add("epoch", each.epoch)
-                   .add("answer", mayAct ? wordOf(answer) : "not sent: the lease is over"));
+                   .add("server", order.server)
+                   .add("model", order.model)
+                   .add("version", order.version)
+                   .add("expected_orders", order.expectedOrders)
+                   .add("epoch", order.epoch)
+                   .add("answer", mayAct ? answerName(answer) : "not sent: the lease is over"));
 }
 
-void duty_runner::ask(const registered_server &server)
+void leader_runner::queryServer(const registered_server &server)
 {
-    const result<order_state> state = readServerState(server, reportAnswerTime);
+    const result<order_state> state = readServerState(server, stateQueryTimeout);
     const timestamp now = boot_clock::now();
     if (state) {
-        m_state.with([&](edge_beliefs &beliefs) {
+        m_state.with([&](routing_state &routing) {
             for (auto it = state->weights.begin(); it != state->weights.end(); ++it)
-                beliefs.board.noteSeenWeights(boot_clock::now(), server.id, it->first, it->second);
+                routing.board.noteSeenWeights(boot_clock::now(), server.id, it->first, it->second);
         });
     } else {
         writeEvent(event_line("duty", "server_state_unknown")
@@ -326,19 +330,19 @@
     m_plan.onState(now, server.id, state ? &*state : nullptr);
 }
 
-void duty_runner::reportRollouts()
+void leader_runner::reportRollouts()
 {
     const timestamp now = boot_clock::now();
-    std::vector<rollout_request> moves;
+    std::vector<rollout_request> rollouts;
     std::map<std::string, rollout_stage, std::less<>> stages;
-    m_state.with([&](edge_beliefs &beliefs) {
-        for (const std::string &service : beliefs.releases.step(now))
+    m_state.with([&](routing_state &routing) {
+        for (const std::string &service : routing.releases.step(now))
             writeEvent(event_line("rollout", "stage_changed")
                            .add("service", service)
-                           .add("stage", toString(*beliefs.releases.stage(service))));
-        for (const rollout_request &request : beliefs.releases.requests()) {
-            moves.push_back(request);
-            stages[request.service] = *beliefs.releases.stage(request.service);
+                           .add("stage", toString(*routing.releases.stage(service))));
+        for (const rollout_request &request : routing.releases.requests()) {
+            rollouts.push_back(request);
+            stages[request.service] = *routing.releases.stage(request.service);
         }
     });
     {
@@ -346,36 +350,36 @@
         if (!m_lease.mayAct(now))
             return;
     }
-    for (const rollout_request &move : moves) {
-        const rollout_stage stage = stages[move.service];
-        const auto written = m_writtenStages.find(move.service + "/" + move.release);
+    for (const rollout_request &rollout : rollouts) {
+        const rollout_stage stage = stages[rollout.service];
+        const auto written = m_writtenStages.find(rollout.service + "/" + rollout.release);
         const bool isWritten = written != m_writtenStages.end() && written->second == stage;
-        if (isWritten || (move.reported && *move.reported == stage))
+        if (isWritten || (rollout.reported && *rollout.reported == stage))
             continue;
-        const std::string name = store_kinds::rollouts + move.service + "/status";
+        const std::string name = store_kinds::rollouts + rollout.service + "/status";
         const result<std::uint64_t> outcome =
-            m_store.put(name, encodeRolloutStatus(stage, move.release), 0);
+            m_store.put(name, encodeRolloutStatus(stage, rollout.release), 0);
         if (outcome)
-            m_writtenStages[move.service + "/" + move.release] = stage;
+            m_writtenStages[rollout.service + "/" + rollout.release] = stage;
         writeEvent(event_line("rollout", "status_written")
-                       .add("service", move.service)
+                       .add("service", rollout.service)
                        .add("stage", toString(stage))
                        .add("outcome", outcome ? "ok" : outcome.error().code.c_str()));
     }
 }
 
-void duty_runner::dropDeadMembers()
+void leader_runner::removeDeadMembers()
 {
     const timestamp now = boot_clock::now();
     std::vector<std::string> dead;
-    m_state.with([&](edge_beliefs &beliefs) {
-        for (const member_entry &other : beliefs.members.others()) {
-            if (beliefs.members.isAlive(now, other.name)) {
+    m_state.with([&](routing_state &routing) {
+        for (const member_entry &other : routing.members.others()) {
+            if (routing.members.isAlive(now, other.name)) {
                 m_silentSince.erase(other.name);
                 continue;
             }
             const timestamp since = m_silentSince.try_emplace(other.name, now).first->second;
-            if (now - since > deadMemberTime)
+            if (now - since > deadMemberSilence)
                 dead.push_back(other.name);
         }
     });
--- /dev/null
+++ b/trefoilrouter/src/edge/leader_runner.h
@@ -0,0 +1,65 @@
+#pragma once
+
+#include <atomic>
+#include <mutex>
+
+#include <adapter/store_client.h>
+#include <core/supervisor.h>
+#include <dispatch/duty_lease.h>
+#include <dispatch/weights_plan.h>
+
+#include "edge/edge_state.h"
+#include "edge/peer_exchange.h"
+#include "work_queue.h"
+
+namespace trefoil {
+
+/// Runs the tasks of the leader, which is one instance at a time: rolling out named weights to all
+/// servers, reporting the progress of rollouts and removing dead instances. One thread maintains
+/// the leader's lease and plans; a work queue sends the orders.
+class leader_runner
+{
+public:
+    /// Precondition: the arguments outlive this object.
+    leader_runner(edge_state &state, store_client &store, work_queue &queue);
+
+    /// Returns the children that run the leader's tasks. @p exchange reports orders to the other
+    /// instances at once.
+    std::vector<child_spec> children(peer_exchange &exchange);
+    /// Returns what the other instances are told. Thread-safe.
+    leader_report report();
+
+private:
+    result<void> run(const std::stop_token &stop, peer_exchange &exchange);
+    result<void> watchCacheStores(const std::stop_token &stop);
+    void pollCacheStore(const endpoint &store, duration waitTime);
+    /// Reads or writes the lease when due. Returns whether it was gained or lost.
+    bool keepLease();
+    void readLease();
+    void writeLease(bool release);
+    bool knowsOrdersOf(const duty_record &holder);
+    std::map<std::string, std::uint64_t, std::less<>> weightsNamedTimes();
+    void applyNamedTimes(const duty_record &record);
+    void planWeights(peer_exchange &exchange);
+    void executeOrder(const weights_order &order);
+    void queryServer(const registered_server &server);
+    void reportRollouts();
+    void removeDeadMembers();
+
+    edge_state &m_state;
+    store_client &m_store;
+    work_queue &m_queue;
+    std::mutex m_mutex;
+    duty_lease m_lease;
+    weights_plan m_plan;
+    std::uint64_t m_planEpoch = 0;
+    std::atomic<int> m_ordersInFlight = 0;
+    /// Boot epochs of the KV cache stores by address, 0 while a store doesn't answer; empty while
+    /// this instance is not the leader.
+    std::map<std::string, std::uint64_t, std::less<>> m_cacheStoreEpochs;
+    bool m_wasLeader = false;
+    std::map<std::string, rollout_stage, std::less<>> m_writtenStages;
+    std::map<std::string, timestamp, std::less<>> m_silentSince;
+};
+
+} // namespace trefoil
--- a/trefoilrouter/src/edge/peer_exchange.h
+++ b/trefoilrouter/src/edge/peer_exchange.h
@@ -10,54 +10,59 @@
 
 namespace trefoil {
 
-/// What the holder of the duty tells the others.
-struct duty_view
+/// What the leader reports to the other instances.
+struct leader_report
 {
-    /// Epoch of the duty held here, 0 for none.
+    /// Epoch of this instance's lease, 0 if it is not the leader.
     std::uint64_t epoch = 0;
+    /// Servers that are loading weights on the leader's orders.
     std::vector<std::string> loading;
-    /// Epochs of the stores of KV cache by address, 0 while one doesn't answer.
+    /// Boot epochs of the KV cache stores by address, 0 while a store doesn't answer.
     std::map<std::string, std::uint64_t, std::less<>> storeEpochs;
 };
 
-/// Reports between instances over datagrams: each tells all others what they can't see, several
-/// times a second. Thread-safe.
+/// Exchanges reports with the other instances over UDP. Each instance reports several times a
+/// second what only it knows. Thread-safe.
 class peer_exchange
 {
 public:
-    /// Precondition: the arguments outlive this object. @p duty is called by the sending thread.
-    peer_exchange(edge_state &state, store_watch &watch, std::function<duty_view()> duty);
+    /// Precondition: the arguments outlive this object. @p leaderReport is called by each thread
+    /// that sends.
+    peer_exchange(edge_state &state, store_watch &watch,
+                  std::function<leader_report()> leaderReport);
 
-    /// Returns the child that sends and receives.
+    /// Returns the child that sends and receives reports.
     child_spec child();
-    /// Sends a report, which is on its way when this returns. Thread-safe.
+    /// Sends a report before it returns. Thread-safe.
     void sendNow();
 
 private:
     result<void> run(const std::stop_token &stop);
     void receive(std::string_view datagram);
     void sendTo(const endpoint &peer, std::string_view datagram);
-    void learn(timestamp now, const peer_report &report);
-    void learnServers(timestamp now, const peer_report &report, edge_beliefs &beliefs);
-    void learnWeights(timestamp now, const peer_report &report, edge_beliefs &beliefs);
-    void learnLimits(timestamp now, const peer_report &report, edge_beliefs &beliefs);
-    void learnOutcomes(timestamp now, const peer_report &report, edge_beliefs &beliefs);
-    /// Returns the time between reports, shorter for one that has a duty or callers.
-    duration period(bool hasDuty) const;
+    void applyReport(timestamp now, const peer_report &report);
+    void applyServers(timestamp now, const peer_report &report, routing_state &routing);
+    void applyWeights(timestamp now, const peer_report &report, routing_state &routing);
+    void applyLimits(timestamp now, const peer_report &report, routing_state &routing);
+    void applyOutcomes(timestamp now, const peer_report &report, routing_state &routing);
+    /// Returns the interval between reports, which is shorter for a leader and for an instance with
+    /// callers.
+    duration reportInterval(bool isLeader) const;
 
     edge_state &m_state;
     store_watch &m_watch;
-    std::function<duty_view()> m_duty;
+    std::function<leader_report()> m_leaderReport;
     Poco::Net::DatagramSocket m_socket;
     std::mutex m_sendMutex;
     std::uint64_t m_sequence = 0;
-    std::atomic<std::size_t> m_others = 0;
-    std::atomic<bool> m_isLarge = false;
-    std::atomic<bool> m_hasDuty = false;
-    bool m_adoptedLevels = false;
+    std::atomic<std::size_t> m_otherCount = 0;
+    std::atomic<bool> m_isLargeFleet = false;
+    std::atomic<bool> m_isLeader = false;
+    bool m_hasAdoptedLevels = false;
     std::map<std::string, bool, std::less<>> m_wasAlive;
-    /// Outcomes last reported by instance and release, to add only what is new.
-    std::map<std::string, outcome_counts, std::less<>> m_seenOutcomes;
+    /// Totals last received, by instance, release and route: reports carry totals, and only the
+    /// increase is added.
+    std::map<std::string, outcome_counts, std::less<>> m_reportedOutcomes;
 };
 
 } // namespace trefoil
--- a/trefoilrouter/src/edge/request_log.cpp
+++ b/trefoilrouter/src/edge/request_log.cpp
@@ -1,4 +1,5 @@
-// Log lines and metrics of a request: what decided, its age or version, and the outcome.
+// Log lines and metrics of a request: its placement, its outcome and the configuration version
+// behind them.
 
 #include <array>
 
@@ -16,7 +17,7 @@
                    .add("best_server", best ? best->server : "")
                    .add("expected_ms", best ? best->expectedMs : 0.0)
                    .add("left_ms", toMilliseconds(m_deadline - now))
-                   .add("tried", static_cast<int>(m_tried.size()))
+                   .add("tried", static_cast<int>(m_triedServers.size()))
                    .add("config_version", m_tables->version));
 }
 
@@ -27,7 +28,7 @@
                    .add("request", m_fields.requestId)
                    .add("route", m_route->name)
                    .add("server", placed.server)
-                   .add("attempt", static_cast<int>(m_tried.size()) + 1)
+                   .add("attempt", static_cast<int>(m_triedServers.size()) + 1)
                    .add("expected_ms", placed.expectedMs)
                    .add("missing_tokens", placed.missingTokens)
                    .add("weights", placed.weights)
--- a/trefoilrouter/src/edge/request_runner.cpp
+++ b/trefoilrouter/src/edge/request_runner.cpp
@@ -13,66 +13,68 @@
 
 using Poco::Net::HTTPResponse;
 
-/// Times a request that was not run is offered to another server: a pool that loads weights rejects
-/// for a moment, and each offer counts against the retry budget.
-constexpr int mostRejections = 3;
-/// Time to connect to a backend server: thirty times the way between zones.
+/// Times a rejected request is sent to another server. A pool that is loading weights rejects for a
+/// moment, and each resend counts against the retry budget.
+constexpr int maxRejections = 3;
+/// Connect timeout for a backend server: thirty times the network latency between zones.
 constexpr duration connectTimeout = std::chrono::milliseconds(300);
-/// Idle time after which a connection isn't trusted with a request that can't be repeated: a reset
-/// would leave its fate unknown.
-constexpr duration freshIdle = std::chrono::milliseconds(800);
-/// Idle time for requests that may be repeated.
-constexpr duration usualIdle = std::chrono::seconds(4);
-/// Idle time kept for a server that doesn't say its own; half of the shortest usual timeout.
+/// Longest idle time of a connection that may carry a non-repeatable request: after a reset it
+/// would be unknown whether the request ran.
+constexpr duration maxIdleNonRepeatable = std::chrono::milliseconds(800);
+/// Longest idle time of a connection for repeatable requests.
+constexpr duration maxIdleRepeatable = std::chrono::seconds(4);
+/// How long an idle connection is kept to a server that doesn't announce its timeout: half of the
+/// shortest usual timeout.
 constexpr duration defaultIdleTimeout = std::chrono::seconds(4);
-/// A stream silent for longer goes on elsewhere: callers leave after two seconds.
-constexpr duration streamSilence = std::chrono::milliseconds(1400);
-/// Least silence after which a repeatable call is tried elsewhere.
-constexpr duration callSilence = std::chrono::milliseconds(250);
-/// Multiples of the expected time after which a silent server is suspect, or given up.
-constexpr double suspectAfter = 4;
-constexpr double giveUpAfter = 6;
-constexpr duration leastSuspectTime = std::chrono::milliseconds(700);
-/// Longest head of an answer.
+/// Silence after which a stream is resumed on another server: callers give up after 2 s.
+constexpr duration maxStreamSilence = std::chrono::milliseconds(1400);
+/// Minimum silence before a repeatable request is retried on another server.
+constexpr duration minRetrySilence = std::chrono::milliseconds(250);
+/// Multiples of the expected time after which a silent server becomes suspect, and is abandoned.
+constexpr double suspectFactor = 4;
+constexpr double abandonFactor = 6;
+constexpr duration minSuspectTime = std::chrono::milliseconds(700);
+/// Limit on the head of an answer.
 constexpr std::size_t maxHeadBytes = 64 * 1024;
-/// Longest answer that is read whole.
+/// Limit on an answer that is buffered.
 constexpr std::size_t maxWholeBytes = 16u << 20;
-/// Part of the remaining time that the expected wait may take; beyond it a request is rejected at
-/// once instead of dying in a queue.
-constexpr double usefulPart = 0.8;
-/// An engine that rejected a request is full or loads weights, which takes more than a second; a
-/// plain server is full for the time of a call.
-constexpr duration engineRest = std::chrono::milliseconds(900);
-constexpr duration plainRest = std::chrono::milliseconds(40);
-/// Shortest and longest time that a rejected caller is told to wait.
-constexpr duration shortestRetry = std::chrono::milliseconds(150);
-constexpr duration longestRetry = std::chrono::milliseconds(1500);
-/// Probe after a broken connection: a crashed server refuses at once.
+/// Fraction of the remaining time that the expected wait may take. Beyond it a request is rejected
+/// at once, because it would probably time out in the queue.
+constexpr double maxWaitFraction = 0.8;
+/// Time without requests for a server that rejected one. An engine is full or loads weights, which
+/// takes more than a second; another server is full for about the time of one request.
+constexpr duration engineRejectionPause = std::chrono::milliseconds(900);
+constexpr duration plainRejectionPause = std::chrono::milliseconds(40);
+/// Bounds of the Retry-After time for rejected callers.
+constexpr duration minRetryAfter = std::chrono::milliseconds(150);
+constexpr duration maxRetryAfter = std::chrono::milliseconds(1500);
+/// Timeout of the probe after a broken connection: the host of a crashed server refuses at once.
 constexpr duration crashProbeTimeout = std::chrono::milliseconds(100);
-/// Crashes are told to the other instances for this long.
-constexpr duration crashTellTime = std::chrono::seconds(20);
+/// How long a crash is reported to the other instances.
+constexpr duration crashReportTime = std::chrono::seconds(20);
 
 constexpr int firstRedirect = 300;
 constexpr int firstServerFailure = 500;
 
-/// Returns a time around @p middle, so that callers that were rejected together don't return
-/// together.
-duration spread(duration middle)
+/// Returns @p base with random jitter, so that callers that were rejected together don't retry at
+/// the same time.
+duration withJitter(duration base)
 {
     thread_local std::minstd_rand random(std::random_device {}());
-    std::uniform_real_distribution<double> around(0.7, 1.5);
-    const duration time = fromSeconds(toSeconds(middle) * around(random));
-    return std::clamp<duration>(time, shortestRetry, longestRetry);
+    std::uniform_real_distribution<double> factor(0.7, 1.5);
+    const duration time = fromSeconds(toSeconds(base) * factor(random));
+    return std::clamp<duration>(time, minRetryAfter, maxRetryAfter);
 }
 
 std::string_view pathOf(std::string_view target) { return target.substr(0, target.find('?')); }
 
 } // namespace
 
-request_runner::request_runner(edge_state &state, server_connections &connections,
-                               byte_stream &caller, const caller_request &request, bool closes)
+request_runner::request_runner(edge_state &state, server_connection_pool &connections,
+                               byte_stream &caller, const caller_request &request,
+                               bool closesConnection)
     : m_state(state), m_connections(connections), m_caller(caller), m_request(request),
-      m_closes(closes)
+      m_closesConnection(closesConnection)
 { }
 
 bool request_runner::run()
@@ -83,14 +85,15 @@
     if (!refused)
         refused = serve();
     if (!refused)
-        return m_status != 0 && !m_closes;
-    if (m_headSent) {
-        // The caller has part of an answer: only a broken connection tells that it isn't whole.
+        return m_status != 0 && !m_closesConnection;
+    if (m_isHeadSent) {
+        // The caller has received part of an answer: only aborting the connection shows that it is
+        // incomplete.
         m_caller.abort();
         logEnd(refused->reason, 0);
         return false;
     }
-    return writeOwn(*refused) && !m_closes;
+    return writeRefusal(*refused) && !m_closesConnection;
 }
 
 std::optional<request_runner::refusal> request_runner::admit()
@@ -98,10 +101,10 @@
     const timestamp now = boot_clock::now();
     if (!m_tables)
         return refusal {HTTPResponse::HTTP_SERVICE_UNAVAILABLE, "no configuration yet",
-                        spread(shortestRetry * 2)};
+                        withJitter(minRetryAfter * 2)};
     if (m_state.isTooLateToServe())
         return refusal {HTTPResponse::HTTP_SERVICE_UNAVAILABLE, "the instance is stopping",
-                        shortestRetry};
+                        minRetryAfter};
     if (m_fields.requestId.empty())
         return refusal {HTTPResponse::HTTP_BAD_REQUEST, "the request has no id", std::nullopt};
     m_route =
@@ -117,12 +120,12 @@
     chooseService();
     const std::string_view team = m_team == nullptr ? std::string_view {} : m_team->name;
     m_bodyDigest = digestOf(m_request.body, digestOf(m_request.head.target, digestOf(team)));
-    const bool isSuspect = m_state.with([&](edge_beliefs &beliefs) {
-        beliefs.budgets.try_emplace(m_service, beliefs.budgetOptions)
+    const bool isCrashSuspect = m_state.with([&](routing_state &routing) {
+        routing.retryBudgets.try_emplace(m_service, routing.retryBudgetOptions)
             .first->second.noteRequest(now);
-        return beliefs.crashes.isRefused(now, m_bodyDigest);
+        return routing.crashes.isRefused(now, m_bodyDigest);
     });
-    if (isSuspect)
+    if (isCrashSuspect)
         return refusal {HTTPResponse::HTTP_SERVICE_UNAVAILABLE,
                         "the request crashed backend servers", std::nullopt};
     return checkLimit(now);
@@ -132,30 +135,30 @@
 {
     if (m_team == nullptr || m_team->rate <= 0)
         return std::nullopt;
-    m_cost = 1;
+    m_limitCost = 1;
     if (m_team->unit == limit_unit::Tokens)
-        m_cost = m_fields.hasTokens ? m_fields.promptTokens + m_fields.outputTokens
-                                    : m_team->plainTokens;
+        m_limitCost = m_fields.hasTokens ? m_fields.promptTokens + m_fields.outputTokens
+                                         : m_team->plainTokens;
     team_limits::team_view view;
-    const std::optional<duration> wait = m_state.with([&](edge_beliefs &beliefs) {
-        view = beliefs.limits.view(now, m_team->name);
-        return beliefs.limits.admit(now, m_team->name, m_cost);
+    const std::optional<duration> wait = m_state.with([&](routing_state &routing) {
+        view = routing.limits.view(now, m_team->name);
+        return routing.limits.admit(now, m_team->name, m_limitCost);
     });
     if (!wait)
         return std::nullopt;
     writeEvent(event_line("limits", "over_limit")
                    .add("request", m_fields.requestId)
                    .add("team", m_team->name)
-                   .add("units", m_cost)
+                   .add("units", m_limitCost)
                    .add("rate", view.rate)
                    .add("level", view.level)
                    .add("own_part", view.part)
                    .add("instances_heard", view.heard)
                    .add("instances_known", view.known)
                    .add("wait_ms", toMilliseconds(*wait)));
-    m_cost = 0;
+    m_limitCost = 0;
     return refusal {HTTPResponse::HTTP_TOO_MANY_REQUESTS, "the team is over its limit",
-                    spread(*wait)};
+                    withJitter(*wait)};
 }
 
 void request_runner::chooseService()
@@ -164,16 +167,16 @@
     for (const route_target &target : m_route->targets)
         sum += target.weight;
     constexpr double hashRange = 18446744073709551616.0;
-    double point = static_cast<double>(hash64(m_fields.requestId)) / hashRange * sum;
+    double remainingWeight = static_cast<double>(hash64(m_fields.requestId)) / hashRange * sum;
     for (const route_target &target : m_route->targets) {
         m_service = target.service;
-        point -= target.weight;
-        if (point < 0)
+        remainingWeight -= target.weight;
+        if (remainingWeight < 0)
             return;
     }
 }
 
-work_item request_runner::work() const
+work_item request_runner::workItem() const
 {
     const served_service *service = m_tables->findService(m_service);
     const bool isModel = service != nullptr && service->engine.has_value();
@@ -183,29 +186,29 @@
                                                                     : std::string_view {},
             .prompt = m_fields.prompt,
             .outputTokens = m_fields.outputTokens,
-            .tried = m_tried,
+            .tried = m_triedServers,
             .barredReleases = m_barredReleases};
 }
 
-std::optional<work_placement> request_runner::place(timestamp now)
+std::optional<work_placement> request_runner::choosePlacement(timestamp now)
 {
-    return m_state.with([&](edge_beliefs &beliefs) -> std::optional<work_placement> {
+    return m_state.with([&](routing_state &routing) -> std::optional<work_placement> {
         m_barredReleases.clear();
-        if (beliefs.releases.request(m_service)) {
+        if (routing.releases.request(m_service)) {
             const std::uint64_t bits = hash64(m_fields.requestId);
-            for (std::string &release : beliefs.board.releasesOf(m_service)) {
-                if (!beliefs.releases.allows(now, m_service, release, bits))
+            for (std::string &release : routing.board.releasesOf(m_service)) {
+                if (!routing.releases.allows(now, m_service, release, bits))
                     m_barredReleases.push_back(std::move(release));
             }
         }
-        return beliefs.board.choose(now, work());
+        return routing.board.choose(now, workItem());
     });
 }
 
-bool request_runner::isTooLate(timestamp now, const work_placement &placed) const
+bool request_runner::wouldMissDeadline(timestamp now, const work_placement &placed) const
 {
     const double leftMs = toSeconds(m_deadline - now) * 1000;
-    return placed.expectedMs > leftMs * usefulPart;
+    return placed.expectedMs > leftMs * maxWaitFraction;
 }
 
 std::optional<request_runner::refusal> request_runner::serve()
@@ -216,20 +219,20 @@
         if (now >= m_deadline)
             return finalRefusal(attempt_end::TimedOut);
         attempt current;
-        const std::optional<work_placement> placed = place(now);
-        if (!placed || isTooLate(now, *placed)) {
+        const std::optional<work_placement> placed = choosePlacement(now);
+        if (!placed || wouldMissDeadline(now, *placed)) {
             logUnplaced(now, placed);
             if (m_answer)
                 break;
             if (m_runs > 0)
                 return refusal {HTTPResponse::HTTP_BAD_GATEWAY, "no other backend server",
                                 std::nullopt};
-            // Room is to be had once the queues have shrunk to what still meets the aim.
-            duration wait = shortestRetry * 2;
+            // Capacity frees up once the expected wait has shrunk to the route's target latency.
+            duration wait = minRetryAfter * 2;
             if (placed)
                 wait = std::max(wait, fromSeconds(placed->expectedMs / 1000) - m_route->aim);
             return refusal {HTTPResponse::HTTP_SERVICE_UNAVAILABLE,
-                            placed ? "overloaded" : "no backend server", spread(wait)};
+                            placed ? "overloaded" : "no backend server", withJitter(wait)};
         }
         current.placed = *placed;
         const attempt_end end = runAttempt(current);
@@ -242,9 +245,9 @@
             return std::nullopt;
         }
         rejections += end == attempt_end::NotRun ? 1 : 0;
-        const bool canGoOn = end != attempt_end::TimedOut && rejections <= mostRejections
-            && mayGoElsewhere(end, current);
-        if (!canGoOn) {
+        const bool canRetry = end != attempt_end::TimedOut && rejections <= maxRejections
+            && mayRetryElsewhere(end, current);
+        if (!canRetry) {
             if (m_answer)
                 break;
             return finalRefusal(end);
@@ -259,21 +262,21 @@
     if (m_runs == 0)
         return refusal {HTTPResponse::HTTP_SERVICE_UNAVAILABLE,
                         end == attempt_end::TimedOut ? "out of time" : "rejected",
-                        spread(shortestRetry * 2)};
+                        withJitter(minRetryAfter * 2)};
     if (end == attempt_end::TimedOut)
         return refusal {HTTPResponse::HTTP_GATEWAY_TIMEOUT, "out of time", std::nullopt};
     return refusal {HTTPResponse::HTTP_BAD_GATEWAY, "the backend server broke off", std::nullopt};
 }
 
-bool request_runner::mayGoElsewhere(attempt_end end, const attempt &last)
+bool request_runner::mayRetryElsewhere(attempt_end end, const attempt &last)
 {
-    m_tried.push_back(last.placed.server);
+    m_triedServers.push_back(last.placed.server);
     if (end != attempt_end::NotRun && (!mayRepeat() || m_runs >= m_route->maxAttempts))
         return false;
     if (!last.wasSent)
         return true;
-    return m_state.with([this](edge_beliefs &beliefs) {
-        return beliefs.budgets.try_emplace(m_service, beliefs.budgetOptions)
+    return m_state.with([this](routing_state &routing) {
+        return routing.retryBudgets.try_emplace(m_service, routing.retryBudgetOptions)
             .first->second.takeRetry(boot_clock::now());
     });
 }
@@ -281,8 +284,9 @@
 request_runner::attempt_end request_runner::runAttempt(attempt &current)
 {
     const timestamp now = boot_clock::now();
-    current.ticket = m_state.with(
-        [&](edge_beliefs &beliefs) { return beliefs.board.begin(now, current.placed, work()); });
+    current.ticket = m_state.with([&](routing_state &routing) {
+        return routing.board.begin(now, current.placed, workItem());
+    });
     logPlaced(current);
     attempt_end end = send(current);
     if (end != attempt_end::Delivered)
@@ -290,39 +294,39 @@
     end = readHead(current);
     if (end != attempt_end::Delivered)
         return end;
-    m_state.with([&](edge_beliefs &beliefs) {
+    m_state.with([&](routing_state &routing) {
         if (current.fields.weights)
-            beliefs.board.noteSeenWeights(boot_clock::now(), current.placed.server, m_fields.model,
+            routing.board.noteSeenWeights(boot_clock::now(), current.placed.server, m_fields.model,
                                           *current.fields.weights);
         if (current.fields.running)
-            beliefs.board.noteReportedLoad(boot_clock::now(), current.placed.server,
+            routing.board.noteReportedLoad(boot_clock::now(), current.placed.server,
                                            *current.fields.running, current.fields.waiting);
     });
     if (current.fields.wasNotRun)
-        return takeRejection(current);
+        return handleRejection(current);
     countRun(current);
     const bool isSuccess =
         current.head.status >= HTTPResponse::HTTP_OK && current.head.status < firstRedirect;
-    const bool isOwn = current.fields.requestId == m_fields.requestId;
-    if (isSuccess && (!current.fields.isSigned || !isOwn))
+    const bool isForThisRequest = current.fields.requestId == m_fields.requestId;
+    if (isSuccess && (!current.fields.isSigned || !isForThisRequest))
         return attempt_end::Broken;
-    const bool isEvents =
+    const bool isEventStream =
         current.head.headers.value("Content-Type").starts_with("text/event-stream");
-    if (isSuccess && isEvents)
-        return passStream(current);
-    return passWhole(current);
+    if (isSuccess && isEventStream)
+        return forwardStream(current);
+    return forwardBuffered(current);
 }
 
 request_runner::attempt_end request_runner::send(attempt &current)
 {
     const work_placement &placed = current.placed;
     const timestamp now = boot_clock::now();
-    result<server_connections::taken_connection> taken =
-        m_connections.take(placed.server, placed.address, mayRepeat() ? usualIdle : freshIdle,
-                           std::min<duration>(connectTimeout, m_deadline - now));
-    if (!taken)
+    result<server_connection_pool::pooled_connection> acquired = m_connections.acquire(
+        placed.server, placed.address, mayRepeat() ? maxIdleRepeatable : maxIdleNonRepeatable,
+        std::min<duration>(connectTimeout, m_deadline - now));
+    if (!acquired)
         return attempt_end::NotRun;
-    current.stream = std::move(taken->stream);
+    current.stream = std::move(acquired->stream);
     if (m_caller.hasLeft())
         return attempt_end::CallerLeft;
     const std::string_view lastEvent =
@@ -343,7 +347,8 @@
          .lastEventId = lastEvent});
     current.wasSent = true;
     current.sentAt = boot_clock::now();
-    // A server may answer before it has read the body; what it sent is in the buffer then.
+    // A server may answer, and close, before it has read the body; its answer is then in the
+    // buffer.
     const bool isWritten = current.stream->write(head + m_request.body, m_deadline);
     if (!isWritten && current.stream->buffer().empty()) {
         countRun(current);
@@ -364,31 +369,32 @@
     const duration expected = fromSeconds(current.placed.expectedMs / 1000);
     const timestamp start = boot_clock::now();
     const timestamp suspectAt = start
-        + std::max<duration>(leastSuspectTime, fromSeconds(toSeconds(expected) * suspectAfter));
-    // Silence of the last server that the route allows is borne to the end.
+        + std::max<duration>(minSuspectTime, fromSeconds(toSeconds(expected) * suspectFactor));
+    // The last attempt that the route allows waits until the deadline.
     const int runs = m_runs + (current.isCounted ? 0 : 1);
-    const bool canGoElsewhere = mayRepeat() && runs < m_route->maxAttempts;
-    timestamp giveUpAt = m_deadline;
-    if (canGoElsewhere) {
-        const duration bound = m_route->repeats == repeat_rule::Stream
-            ? std::max<duration>(streamSilence, current.hasEvents ? duration::zero() : expected * 2)
-            : std::max<duration>(callSilence, fromSeconds(toSeconds(expected) * giveUpAfter));
-        giveUpAt = std::min(m_deadline, start + bound);
+    const bool canRetryElsewhere = mayRepeat() && runs < m_route->maxAttempts;
+    timestamp abandonAt = m_deadline;
+    if (canRetryElsewhere) {
+        const duration maxSilence = m_route->repeats == repeat_rule::Stream
+            ? std::max<duration>(maxStreamSilence,
+                                 current.hasEvents ? duration::zero() : expected * 2)
+            : std::max<duration>(minRetrySilence, fromSeconds(toSeconds(expected) * abandonFactor));
+        abandonAt = std::min(m_deadline, start + maxSilence);
     }
-    const timestamp first = std::min(suspectAt, giveUpAt);
-    read_outcome outcome = current.stream->readMore(first, &m_caller);
+    const timestamp firstWaitEnd = std::min(suspectAt, abandonAt);
+    read_outcome outcome = current.stream->readMore(firstWaitEnd, &m_caller);
     if (outcome != read_outcome::TimedOut)
         return outcome;
-    m_state.with([&](edge_beliefs &beliefs) {
-        beliefs.board.noteSilence(boot_clock::now(), current.ticket);
+    m_state.with([&](routing_state &routing) {
+        routing.board.noteSilence(boot_clock::now(), current.ticket);
     });
-    if (first < giveUpAt)
-        outcome = current.stream->readMore(giveUpAt, &m_caller);
-    const bool gaveUp = outcome == read_outcome::TimedOut && giveUpAt < m_deadline;
-    return gaveUp ? read_outcome::Broken : outcome;
+    if (firstWaitEnd < abandonAt)
+        outcome = current.stream->readMore(abandonAt, &m_caller);
+    const bool isAbandoned = outcome == read_outcome::TimedOut && abandonAt < m_deadline;
+    return isAbandoned ? read_outcome::Broken : outcome;
 }
 
-request_runner::attempt_end request_runner::endFor(read_outcome outcome)
+request_runner::attempt_end request_runner::attemptEndOf(read_outcome outcome)
 {
     if (outcome == read_outcome::WatchedLeft)
         return attempt_end::CallerLeft;
@@ -405,9 +411,9 @@
                 buffer.size() > maxHeadBytes ? read_outcome::Broken : waitForBytes(current);
             if (outcome == read_outcome::Bytes)
                 continue;
-            // From here on the request may have run.
+            // The request was sent, so it may have run.
             countRun(current);
-            return endFor(outcome);
+            return attemptEndOf(outcome);
         }
         result<response_head> head = parseResponseHead(std::string_view(buffer).substr(0, end));
         buffer.erase(0, end + 4);
@@ -424,7 +430,7 @@
         current.fields = decodeServerAnswer(current.head);
         if (current.fields.requestId.empty() || current.fields.requestId == m_fields.requestId)
             return attempt_end::Delivered;
-        // A late answer to an earlier request stands in front of this one's.
+        // A late answer to an earlier request on this connection precedes the one to this request.
         std::string dropped;
         const attempt_end skipped = readBody(current, dropped);
         if (skipped != attempt_end::Delivered || current.framing.end == body_end::Close) {
@@ -461,32 +467,33 @@
         if (outcome == read_outcome::End && current.framing.end == body_end::Close)
             return attempt_end::Delivered;
         if (outcome != read_outcome::Bytes)
-            return endFor(outcome);
+            return attemptEndOf(outcome);
     }
 }
 
-request_runner::attempt_end request_runner::takeRejection(attempt &current)
+request_runner::attempt_end request_runner::handleRejection(attempt &current)
 {
     std::string body;
     if (readBody(current, body) == attempt_end::Delivered)
-        keepConnection(current);
+        returnConnection(current);
     const timestamp now = boot_clock::now();
-    m_state.with([&](edge_beliefs &beliefs) {
-        const bool isOther =
+    m_state.with([&](routing_state &routing) {
+        const bool isOtherServer =
             !current.fields.server.empty() && current.fields.server != current.placed.server;
-        if (current.fields.isMisdirected && isOther)
-            beliefs.board.noteGone(current.placed.server);
+        if (current.fields.isMisdirected && isOtherServer)
+            routing.board.noteGone(current.placed.server);
         else if (current.fields.isMisdirected && current.placed.weights > 0)
-            beliefs.board.noteOtherWeights(now, current.placed.server, m_fields.model,
+            routing.board.noteOtherWeights(now, current.placed.server, m_fields.model,
                                            current.placed.weights);
         else
-            beliefs.board.noteLoading(current.placed.server,
-                                      now + (current.placed.weights > 0 ? engineRest : plainRest));
+            routing.board.noteLoading(
+                current.placed.server,
+                now + (current.placed.weights > 0 ? engineRejectionPause : plainRejectionPause));
     });
     return attempt_end::NotRun;
 }
 
-void request_runner::keepConnection(attempt &current)
+void request_runner::returnConnection(attempt &current)
 {
     const bool mayKeep = !current.hasEnded && current.framing.end != body_end::Close
         && keepsConnection(current.head.headers, current.head.isHttp10)
@@ -494,20 +501,21 @@
     if (!mayKeep)
         return;
     const duration idle = current.fields.idleTimeout.value_or(defaultIdleTimeout * 2) / 2;
-    m_connections.giveBack(current.placed.server, std::move(*current.stream), idle);
+    m_connections.release(current.placed.server, std::move(*current.stream), idle);
     current.stream.reset();
 }
 
-request_runner::attempt_end request_runner::passWhole(attempt &current)
+request_runner::attempt_end request_runner::forwardBuffered(attempt &current)
 {
     std::string body;
     const attempt_end end = readBody(current, body);
     if (end != attempt_end::Delivered)
         return end;
     const timestamp now = boot_clock::now();
-    m_state.with([&](edge_beliefs &beliefs) { beliefs.board.noteFirstEvent(now, current.ticket); });
-    keepConnection(current);
-    if (m_headSent)
+    m_state.with(
+        [&](routing_state &routing) { routing.board.noteFirstEvent(now, current.ticket); });
+    returnConnection(current);
+    if (m_isHeadSent)
         return attempt_end::Broken;
     m_answer = {current.head, std::move(body)};
     if (current.head.status >= firstServerFailure && mayRepeat())
@@ -524,7 +532,8 @@
     if (hasLength)
         appendField(framing, "Content-Length", std::to_string(body.size()));
     m_status = m_answer->first.status;
-    const std::string text = encodeCallerAnswer(m_answer->first, framing, m_closes) + body;
+    const std::string text =
+        encodeCallerAnswer(m_answer->first, framing, m_closesConnection) + body;
     if (!m_caller.write(text, std::max(m_deadline, boot_clock::now() + std::chrono::seconds(1)))) {
         m_status = 0;
         return false;
@@ -536,12 +545,12 @@
 bool request_runner::deliverEvents(attempt &current, const std::string &events, bool isLast)
 {
     std::string text;
-    if (!m_headSent) {
+    if (!m_isHeadSent) {
         m_isChunked = !m_request.head.isHttp10;
-        m_closes = m_closes || !m_isChunked;
+        m_closesConnection = m_closesConnection || !m_isChunked;
         text = encodeCallerAnswer(current.head, m_isChunked ? "Transfer-Encoding: chunked\r\n" : "",
-                                  m_closes);
-        m_headSent = true;
+                                  m_closesConnection);
+        m_isHeadSent = true;
     }
     if (m_isChunked)
         appendChunk(text, events);
@@ -552,7 +561,7 @@
     return text.empty() || m_caller.write(text, m_deadline);
 }
 
-request_runner::attempt_end request_runner::passStream(attempt &current)
+request_runner::attempt_end request_runner::forwardStream(attempt &current)
 {
     std::string &buffer = current.stream->buffer();
     while (true) {
@@ -579,26 +588,26 @@
             events += m_events.takeRest();
         if (!events.empty() && !current.hasEvents) {
             current.hasEvents = true;
-            m_state.with([&](edge_beliefs &beliefs) {
-                beliefs.board.noteFirstEvent(boot_clock::now(), current.ticket);
+            m_state.with([&](routing_state &routing) {
+                routing.board.noteFirstEvent(boot_clock::now(), current.ticket);
             });
         }
         if ((!events.empty() || isComplete) && !deliverEvents(current, events, isComplete))
             return attempt_end::CallerBroken;
         if (isComplete) {
             m_status = current.head.status;
-            keepConnection(current);
+            returnConnection(current);
             logEnd("answered", m_status);
             return attempt_end::Delivered;
         }
         const read_outcome outcome = waitForBytes(current);
-        const bool endsInOrder =
+        const bool isOrderlyEnd =
             outcome == read_outcome::End && current.framing.end == body_end::Close;
-        if (endsInOrder) {
+        if (isOrderlyEnd) {
             current.hasEnded = true;
         } else if (outcome != read_outcome::Bytes) {
             m_events.drop();
-            return endFor(outcome);
+            return attemptEndOf(outcome);
         }
     }
 }
@@ -615,42 +624,42 @@
         outcome = work_outcome::Failed;
     else if (end != attempt_end::Delivered)
         outcome = work_outcome::Abandoned;
-    // Closing tells the server to stop its work.
+    // Aborting the connection makes the server stop its work.
     if (current.stream && end != attempt_end::Delivered)
         current.stream->abort();
     const timestamp now = boot_clock::now();
-    m_state.with([&](edge_beliefs &beliefs) { beliefs.board.end(now, current.ticket, outcome); });
-    noteRelease(current, end);
+    m_state.with([&](routing_state &routing) { routing.board.end(now, current.ticket, outcome); });
+    recordReleaseOutcome(current, end);
     logAttemptEnd(current, end);
     if (end == attempt_end::Broken && current.wasSent)
-        noteCrash(current);
+        recordCrash(current);
 }
 
-void request_runner::noteRelease(const attempt &current, attempt_end end)
+void request_runner::recordReleaseOutcome(const attempt &current, attempt_end end)
 {
-    const bool isJudged =
+    const bool countsForRelease =
         end == attempt_end::Delivered || end == attempt_end::Failed || end == attempt_end::Broken;
-    if (!isJudged)
+    if (!countsForRelease)
         return;
     const bool failed = end != attempt_end::Delivered || m_status >= firstServerFailure;
     const duration taken = boot_clock::now() - m_request.receivedAt;
     const bool slow = m_route->repeats != repeat_rule::Stream && taken > m_route->aim * 2;
-    m_state.with([&](edge_beliefs &beliefs) {
-        if (!beliefs.releases.request(m_service))
+    m_state.with([&](routing_state &routing) {
+        if (!routing.releases.request(m_service))
             return;
-        beliefs.releases.note(m_service, current.placed.release, m_route->name, failed, slow);
-        release_outcomes &own =
-            beliefs.ownOutcomes[m_service + "/" + current.placed.release + "/" + m_route->name];
-        own.service = m_service;
-        own.release = current.placed.release;
-        own.route = m_route->name;
-        own.counts.requests += 1;
-        own.counts.failures += failed ? 1 : 0;
-        own.counts.slow += slow ? 1 : 0;
+        routing.releases.note(m_service, current.placed.release, m_route->name, failed, slow);
+        release_outcomes &outcomes =
+            routing.localOutcomes[m_service + "/" + current.placed.release + "/" + m_route->name];
+        outcomes.service = m_service;
+        outcomes.release = current.placed.release;
+        outcomes.route = m_route->name;
+        outcomes.counts.requests += 1;
+        outcomes.counts.failures += failed ? 1 : 0;
+        outcomes.counts.slow += slow ? 1 : 0;
     });
 }
 
-void request_runner::noteCrash(const attempt &current)
+void request_runner::recordCrash(const attempt &current)
 {
     const result<byte_stream> probe =
         byte_stream::connect(current.placed.address, crashProbeTimeout);
@@ -658,11 +667,11 @@
         return;
     const timestamp now = boot_clock::now();
     const crash_note note {.request = m_bodyDigest, .event = current.placed.server};
-    m_state.with([&](edge_beliefs &beliefs) {
-        beliefs.crashes.note(now, note.request, note.event);
-        std::erase_if(beliefs.ownCrashes,
-                      [now](const auto &each) { return now - each.first > crashTellTime; });
-        beliefs.ownCrashes.emplace_back(now, note);
+    m_state.with([&](routing_state &routing) {
+        routing.crashes.note(now, note.request, note.event);
+        std::erase_if(routing.localCrashes,
+                      [now](const auto &each) { return now - each.first > crashReportTime; });
+        routing.localCrashes.emplace_back(now, note);
     });
     writeEvent(event_line("proxy", "crash_suspected")
                    .add("request", m_fields.requestId)
@@ -670,13 +679,14 @@
                    .add("digest", toHex(m_bodyDigest)));
 }
 
-bool request_runner::writeOwn(const refusal &why)
+bool request_runner::writeRefusal(const refusal &refused)
 {
-    if (m_cost > 0 && m_runs == 0)
-        m_state.with([&](edge_beliefs &beliefs) { beliefs.limits.giveBack(m_team->name, m_cost); });
-    logEnd(why.reason, why.status);
-    const std::string text =
-        encodeOwnAnswer(why.status, m_fields.requestId, why.reason, why.retryAfter, m_closes);
+    if (m_limitCost > 0 && m_runs == 0)
+        m_state.with(
+            [&](routing_state &routing) { routing.limits.giveBack(m_team->name, m_limitCost); });
+    logEnd(refused.reason, refused.status);
+    const std::string text = encodeOwnAnswer(refused.status, m_fields.requestId, refused.reason,
+                                             refused.retryAfter, m_closesConnection);
     return m_caller.write(text, boot_clock::now() + std::chrono::seconds(1));
 }
 
--- a/trefoilrouter/src/edge/request_runner.h
+++ b/trefoilrouter/src/edge/request_runner.h
@@ -13,51 +13,52 @@
 #include <http/message.h>
 
 #include "edge/edge_state.h"
-#include "edge/server_connections.h"
+#include "edge/server_connection_pool.h"
 
 namespace trefoil {
 
-/// A caller's request, read whole.
+/// A caller's complete request.
 struct caller_request
 {
     request_head head;
     std::string body;
-    /// When its head was complete; the caller's patience counts from here.
+    /// When the head was complete; the caller's timeout counts from here.
     timestamp receivedAt;
 };
 
-/// Serves one request of a caller: routes it, checks key and limit, places it on a backend server,
-/// passes the answer on as it comes, and sends it elsewhere only where that can't run it twice.
-/// Used by one thread.
+/// Serves one request of a caller: routes it, checks API key and rate limit, places it on a backend
+/// server and forwards the answer as it arrives. Retries on another server only if the request did
+/// not run or may be repeated. Not thread-safe.
 class request_runner
 {
 public:
-    /// Precondition: all arguments outlive this object. @p closes tells that the connection ends
-    /// after the answer.
-    request_runner(edge_state &state, server_connections &connections, byte_stream &caller,
-                   const caller_request &request, bool closes);
+    /// Precondition: all arguments outlive this object. With @p closesConnection the connection to
+    /// the caller ends after the answer.
+    request_runner(edge_state &state, server_connection_pool &connections, byte_stream &caller,
+                   const caller_request &request, bool closesConnection);
 
-    /// Serves the request. Returns whether the connection may carry another one.
+    /// Serves the request. Returns whether the connection may carry another request.
     bool run();
 
 private:
     /// How an attempt at a backend server ended.
     enum class attempt_end {
-        /// The whole answer went to the caller.
+        /// The complete answer was written to the caller.
         Delivered,
-        /// The server said that it did not run the request, or nothing reached it.
+        /// The server stated that it did not run the request, or it received nothing.
         NotRun,
-        /// The server answered a repeatable request with a failure, kept in m_answer.
+        /// The server answered a repeatable request with an error, which m_answer holds.
         Failed,
-        /// The connection broke, stayed silent or carried no answer.
+        /// The connection to the server broke, stayed silent too long or carried no valid answer.
         Broken,
+        /// The caller closed its connection before the answer.
         CallerLeft,
         TimedOut,
-        /// The caller's side broke.
+        /// Writing to the caller failed.
         CallerBroken
     };
 
-    /// State of one attempt.
+    /// State of one attempt at a backend server.
     struct attempt
     {
         work_placement placed;
@@ -68,11 +69,11 @@
         body_framing framing;
         chunked_decoder chunks;
         std::uint64_t bodyBytes = 0;
-        /// Whether the other side ended the connection in order.
+        /// Whether the server closed its side of the connection.
         bool hasEnded = false;
         bool wasSent = false;
         bool hasEvents = false;
-        /// Whether it counts among the runs: the server may have begun the request.
+        /// Whether the attempt is included in m_runs: the server may have started the request.
         bool isCounted = false;
         timestamp sentAt;
     };
@@ -89,30 +90,30 @@
     void chooseService();
     std::optional<refusal> serve();
     std::optional<refusal> finalRefusal(attempt_end end) const;
-    std::optional<work_placement> place(timestamp now);
-    bool isTooLate(timestamp now, const work_placement &placed) const;
-    bool mayGoElsewhere(attempt_end end, const attempt &last);
+    std::optional<work_placement> choosePlacement(timestamp now);
+    bool wouldMissDeadline(timestamp now, const work_placement &placed) const;
+    bool mayRetryElsewhere(attempt_end end, const attempt &last);
 
     attempt_end runAttempt(attempt &current);
     attempt_end send(attempt &current);
     attempt_end readHead(attempt &current);
-    attempt_end takeRejection(attempt &current);
+    attempt_end handleRejection(attempt &current);
     attempt_end readBody(attempt &current, std::string &body);
-    attempt_end passWhole(attempt &current);
-    attempt_end passStream(attempt &current);
+    attempt_end forwardBuffered(attempt &current);
+    attempt_end forwardStream(attempt &current);
     bool deliverEvents(attempt &current, const std::string &events, bool isLast);
     void countRun(attempt &current);
     read_outcome waitForBytes(attempt &current);
-    /// Returns how an attempt ends for an outcome that brought no bytes.
-    static attempt_end endFor(read_outcome outcome);
-    void keepConnection(attempt &current);
+    /// Maps a read outcome other than Bytes to the end of the attempt.
+    static attempt_end attemptEndOf(read_outcome outcome);
+    void returnConnection(attempt &current);
     void finish(attempt &current, attempt_end end);
-    void noteCrash(const attempt &current);
-    void noteRelease(const attempt &current, attempt_end end);
+    void recordCrash(const attempt &current);
+    void recordReleaseOutcome(const attempt &current, attempt_end end);
 
-    bool writeOwn(const refusal &why);
+    bool writeRefusal(const refusal &refused);
     bool writeAnswer();
-    work_item work() const;
+    work_item workItem() const;
     bool mayRepeat() const { return m_route->mayRepeat(); }
     void logUnplaced(timestamp now, const std::optional<work_placement> &best) const;
     void logPlaced(const attempt &current) const;
@@ -120,26 +121,28 @@
     void logEnd(std::string_view outcome, int status) const;
 
     edge_state &m_state;
-    server_connections &m_connections;
+    server_connection_pool &m_connections;
     byte_stream &m_caller;
     const caller_request &m_request;
-    bool m_closes;
+    bool m_closesConnection;
 
     std::shared_ptr<const serving_tables> m_tables;
     caller_fields m_fields;
     const served_route *m_route = nullptr;
     const served_team *m_team = nullptr;
     std::string m_service;
-    double m_cost = 0;
+    double m_limitCost = 0;
     timestamp m_deadline;
     digest128 m_bodyDigest;
-    std::vector<std::string> m_tried;
+    std::vector<std::string> m_triedServers;
     std::vector<std::string> m_barredReleases;
+    /// Attempts in which a server may have started the request.
     int m_runs = 0;
-    bool m_headSent = false;
+    bool m_isHeadSent = false;
     bool m_isChunked = false;
     event_cutter m_events;
-    /// Whole answer of a server; a failure is passed on if no other server does better.
+    /// Complete answer of a server. An error is forwarded only if no other server answers the
+    /// request.
     std::optional<std::pair<response_head, std::string>> m_answer;
     int m_status = 0;
 };
--- /dev/null
+++ b/trefoilrouter/src/edge/server_connection_pool.h
@@ -0,0 +1,50 @@
+#pragma once
+
+#include <map>
+#include <memory>
+#include <mutex>
+#include <string>
+#include <string_view>
+#include <vector>
+
+#include <configuration/settings.h>
+#include <core/clock.h>
+#include <core/error.h>
+#include <http/byte_stream.h>
+
+namespace trefoil {
+
+/// Pool of idle connections to backend servers. Thread-safe.
+class server_connection_pool
+{
+public:
+    /// A connection taken from the pool or opened.
+    struct pooled_connection
+    {
+        byte_stream stream;
+        /// Whether the connection carried a request before.
+        bool isReused = false;
+    };
+
+    /// Returns a connection to @p server that has been idle for at most @p maxIdle, or a new one to
+    /// @p address. Errors: those of byte_stream::connect(); nothing was sent then.
+    result<pooled_connection> acquire(std::string_view server, const endpoint &address,
+                                      duration maxIdle, duration connectTimeout);
+    /// Keeps a connection that carried a complete answer for at most @p idleTimeout.
+    void release(std::string_view server, byte_stream stream, duration idleTimeout);
+    /// Closes connections whose idle timeout has expired.
+    void prune(timestamp now);
+
+private:
+    struct idle_connection
+    {
+        byte_stream stream;
+        timestamp idleSince;
+        timestamp expiresAt;
+    };
+
+    std::mutex m_mutex;
+    std::map<std::string, std::vector<idle_connection>, std::less<>> m_idle;
+};
+
+} // namespace trefoil
--- a/trefoilrouter/src/edge/store_watch.cpp
+++ b/trefoilrouter/src/edge/store_watch.cpp
@@ -17,52 +17,54 @@
 
 using Poco::Net::HTTPResponse;
 
-/// A waiting watch lasts this long, after which silence shows that its connection is dead. Another
-/// instance's report shows sooner that this one is behind.
-constexpr duration shortPatience = std::chrono::seconds(3);
-constexpr duration longPatience = std::chrono::seconds(10);
-/// Wait after a watch that brought changes: what comes in quick succession is read in one call.
-constexpr duration gatherTime = std::chrono::milliseconds(120);
-/// Added for each other instance, since all are woken by each change: below a second in the largest
-/// fleet, a third of the time within which a leaving server must be noticed there.
-constexpr duration gatherTimeForEach = std::chrono::milliseconds(8);
-/// Instances that read the store's newest state; the others' reads may be old and cost a tenth.
-constexpr int mostFreshWatchers = 8;
-/// The same for what reports tell as well, or what is not urgent.
-constexpr int fewFreshWatchers = 3;
-/// Waits of the others are longer by this: they rely on reports anyway. The store allows 30 s.
-constexpr int oldPatienceFactor = 3;
-/// Wait after a call that failed, doubled with each one in a row up to the longest, which is a
+/// Duration of a long poll; silence beyond it means that the connection is dead. Reports of other
+/// instances reveal earlier that this one is behind.
+constexpr duration shortWatchTime = std::chrono::seconds(3);
+constexpr duration longWatchTime = std::chrono::seconds(10);
+/// Pause after a watch that returned changes, so that changes in quick succession are read in one
+/// call.
+constexpr duration batchPause = std::chrono::milliseconds(120);
+/// Added per other instance, since each change wakes all of them. The sum stays below a second in
+/// the largest fleet, a third of the time in which a leaving server must be noticed there.
+constexpr duration batchPausePerInstance = std::chrono::milliseconds(8);
+/// Number of instances that read the store's newest state. The others use stale reads, which cost a
+/// tenth.
+constexpr int maxFreshReaders = 8;
+/// The same for kinds that the reports carry as well, or that are not urgent.
+constexpr int reducedFreshReaders = 3;
+/// Factor on the poll duration of stale readers, which rely on reports anyway. The store allows
+/// polls of up to 30 s.
+constexpr int staleWatchTimeFactor = 3;
+/// Pause after a failed call, doubled with each consecutive failure up to a maximum, which is a
 /// third of the time that the platform allows after an outage.
 constexpr duration retryPause = std::chrono::milliseconds(250);
-constexpr duration longestRetryPause = std::chrono::milliseconds(1000);
+constexpr duration maxRetryPause = std::chrono::milliseconds(1000);
 constexpr int maxDoublings = 8;
-/// Servers whose entries lapsed in an outage are back within two seconds of its end.
-constexpr duration serverReturnTime = std::chrono::milliseconds(1900);
-/// A copy that is behind for this long is fetched from another instance: the store's own watch
-/// brings changes sooner.
-constexpr duration overdueTime = std::chrono::milliseconds(350);
-/// Age that is taken for weights found at the start, when they may have been named long ago: half
-/// of the time within which they must be everywhere, until another instance tells more.
-constexpr duration unknownWeightsAge = std::chrono::seconds(5);
+/// Servers whose entries lapsed in an outage register again within 2 s of its end.
+constexpr duration serverReregistrationTime = std::chrono::milliseconds(1900);
+/// Time that a copy may be behind before it is fetched from another instance; normally the store's
+/// watch delivers changes sooner.
+constexpr duration maxTimeBehind = std::chrono::milliseconds(350);
+/// Assumed age of weights found at startup, which may have been named long ago: half of the time
+/// within which they must be in use everywhere. Reports of other instances correct it.
+constexpr duration assumedWeightsAge = std::chrono::seconds(5);
 constexpr duration fetchTimeout = std::chrono::milliseconds(400);
 
-std::string bareName(const std::string &name) { return name.substr(name.find('/') + 1); }
+std::string nameWithoutKind(const std::string &name) { return name.substr(name.find('/') + 1); }
 
 } // namespace
 
 store_watch::store_watch(edge_state &state, store_client &store) : m_state(state), m_store(store)
 {
     m_kinds = {
-        {store_kinds::configuration,
-         {.patience = shortPatience, .freshWatchers = mostFreshWatchers}},
+        {store_kinds::configuration, {.waitTime = shortWatchTime, .freshReaders = maxFreshReaders}},
         {store_kinds::servers,
-         {.patience = shortPatience,
-          .freshWatchers = mostFreshWatchers,
-          .returnTime = serverReturnTime}},
-        {store_kinds::weights, {.patience = shortPatience, .freshWatchers = fewFreshWatchers}},
-        {store_kinds::rollouts, {.patience = longPatience, .freshWatchers = fewFreshWatchers}},
-        {store_kinds::instances, {.patience = longPatience, .freshWatchers = fewFreshWatchers}}};
+         {.waitTime = shortWatchTime,
+          .freshReaders = maxFreshReaders,
+          .reregistrationTime = serverReregistrationTime}},
+        {store_kinds::weights, {.waitTime = shortWatchTime, .freshReaders = reducedFreshReaders}},
+        {store_kinds::rollouts, {.waitTime = longWatchTime, .freshReaders = reducedFreshReaders}},
+        {store_kinds::instances, {.waitTime = longWatchTime, .freshReaders = reducedFreshReaders}}};
 }
 
 std::vector<child_spec> store_watch::children()
@@ -81,78 +83,79 @@
 {
     bool needsSnapshot = true;
     while (!stop.stop_requested())
-        follow(kind, needsSnapshot);
+        watchOnce(kind, needsSnapshot);
     return {};
 }
 
-void store_watch::follow(const std::string &kind, bool &needsSnapshot)
+void store_watch::watchOnce(const std::string &kind, bool &needsSnapshot)
 {
     std::uint64_t from = 0;
-    duration patience {};
-    int freshWatchers = 0;
-    const fleet_view fleet = viewFleet();
+    duration waitTime {};
+    int freshReaders = 0;
+    const fleet_position fleet = fleetPosition();
     {
         const std::lock_guard<std::mutex> lock(m_mutex);
-        const watched_kind &known = m_kinds.find(kind)->second;
-        from = known.mirror.upTo();
-        patience = known.patience;
-        freshWatchers = known.freshWatchers;
+        const watched_kind &watched = m_kinds.find(kind)->second;
+        from = watched.mirror.upTo();
+        waitTime = watched.waitTime;
+        freshReaders = watched.freshReaders;
     }
-    // In a large fleet few instances need the newest state from the store itself: reports tell the
-    // others when they are behind.
-    const bool isFresh = fleet.rank < freshWatchers;
+    // In a large fleet only a few instances read the newest state: reports tell the others when
+    // they are behind.
+    const bool isFresh = fleet.rank < freshReaders;
     const read_freshness freshness = isFresh ? read_freshness::Newest : read_freshness::MayBeOld;
-    patience = isFresh ? patience : patience * oldPatienceFactor;
-    const result<object_changes> got =
-        needsSnapshot ? m_store.snapshot(kind) : m_store.watch(kind, from, patience, freshness);
-    if (!got) {
-        if (got.error().code == platform_errors::historyGone) {
+    waitTime = isFresh ? waitTime : waitTime * staleWatchTimeFactor;
+    const result<object_changes> answer =
+        needsSnapshot ? m_store.snapshot(kind) : m_store.watch(kind, from, waitTime, freshness);
+    if (!answer) {
+        if (answer.error().code == platform_errors::historyGone) {
             needsSnapshot = true;
             return;
         }
-        noteReachable(kind, false, got.error().message);
+        noteReachable(kind, false, answer.error().message);
         std::this_thread::sleep_for(nextRetryPause(kind));
         return;
     }
     noteReachable(kind, true, "");
     const timestamp now = boot_clock::now();
-    m_state.noteStoreHeard(now);
+    m_state.noteStoreAnswer(now);
     const timestamp outageEnd =
-        m_state.with([](edge_beliefs &beliefs) { return beliefs.storeOutage.outageEnd(); });
+        m_state.with([](routing_state &routing) { return routing.storeOutage.outageEnd(); });
     bool hasChanged = false;
     {
         const std::lock_guard<std::mutex> lock(m_mutex);
-        watched_kind &known = m_kinds.find(kind)->second;
-        known.failures = 0;
-        object_mirror &mirror = known.mirror;
-        const timestamp lapseEnd = outageEnd + known.returnTime;
-        hasChanged = needsSnapshot ? mirror.takeSnapshot(now, got->changed, got->upTo, lapseEnd)
-                                   : mirror.takeChanges(now, got->changed, got->upTo, lapseEnd);
+        watched_kind &watched = m_kinds.find(kind)->second;
+        watched.failures = 0;
+        object_mirror &mirror = watched.mirror;
+        const timestamp lapseEnd = outageEnd + watched.reregistrationTime;
+        hasChanged = needsSnapshot
+            ? mirror.takeSnapshot(now, answer->changed, answer->upTo, lapseEnd)
+            : mirror.takeChanges(now, answer->changed, answer->upTo, lapseEnd);
         hasChanged = mirror.dropLapsed(now) || hasChanged;
     }
-    const bool hadEvents = !needsSnapshot && !got->changed.empty();
+    const bool hadChanges = !needsSnapshot && !answer->changed.empty();
     needsSnapshot = false;
     if (hasChanged)
         apply(kind);
-    if (hadEvents)
-        std::this_thread::sleep_for(gatherTime + gatherTimeForEach * fleet.others);
+    if (hadChanges)
+        std::this_thread::sleep_for(batchPause + batchPausePerInstance * fleet.others);
 }
 
 duration store_watch::nextRetryPause(const std::string &kind)
 {
     const std::lock_guard<std::mutex> lock(m_mutex);
-    watched_kind &known = m_kinds.find(kind)->second;
-    const duration pause = std::min(retryPause * (1 << known.failures), longestRetryPause);
-    known.failures = std::min(known.failures + 1, maxDoublings);
+    watched_kind &watched = m_kinds.find(kind)->second;
+    const duration pause = std::min(retryPause * (1 << watched.failures), maxRetryPause);
+    watched.failures = std::min(watched.failures + 1, maxDoublings);
     return pause;
 }
 
-store_watch::fleet_view store_watch::viewFleet()
+store_watch::fleet_position store_watch::fleetPosition()
 {
     const timestamp now = boot_clock::now();
-    return m_state.with([now](edge_beliefs &beliefs) {
-        return fleet_view {.rank = beliefs.members.rank(now),
-                           .others = static_cast<int>(beliefs.members.otherCount())};
+    return m_state.with([now](routing_state &routing) {
+        return fleet_position {.rank = routing.members.rank(now),
+                               .others = static_cast<int>(routing.members.otherCount())};
     });
 }
 
@@ -162,9 +165,9 @@
     bool isAnyReachable = false;
     {
         const std::lock_guard<std::mutex> lock(m_mutex);
-        watched_kind &known = m_kinds.find(kind)->second;
-        hasChanged = known.isReachable != reachable;
-        known.isReachable = reachable;
+        watched_kind &watched = m_kinds.find(kind)->second;
+        hasChanged = watched.isReachable != reachable;
+        watched.isReachable = reachable;
         for (auto it = m_kinds.begin(); it != m_kinds.end(); ++it)
             isAnyReachable = isAnyReachable || it->second.isReachable;
     }
@@ -188,18 +191,18 @@
     return newest;
 }
 
-void store_watch::notePeer(timestamp now, const endpoint &peer,
-                           const std::map<std::string, std::uint64_t, std::less<>> &newest)
+void store_watch::notePeerChanges(timestamp now, const endpoint &peer,
+                                  const std::map<std::string, std::uint64_t, std::less<>> &newest)
 {
     const std::lock_guard<std::mutex> lock(m_mutex);
     for (auto it = newest.begin(); it != newest.end(); ++it) {
-        const auto known = m_kinds.find(it->first);
-        if (known == m_kinds.end())
+        const auto watched = m_kinds.find(it->first);
+        if (watched == m_kinds.end())
             continue;
-        if (it->second > known->second.mirror.newestChange()) {
-            if (!known->second.behindSince)
-                known->second.behindSince = now;
-            known->second.ahead = peer;
+        if (it->second > watched->second.mirror.newestChange()) {
+            if (!watched->second.behindSince)
+                watched->second.behindSince = now;
+            watched->second.newerPeer = peer;
         }
     }
 }
@@ -218,25 +221,25 @@
         apply(kind);
 }
 
-void store_watch::fetchOverdue(timestamp now)
+void store_watch::fetchStaleCopies(timestamp now)
 {
-    std::vector<std::pair<std::string, endpoint>> overdue;
+    std::vector<std::pair<std::string, endpoint>> stale;
     {
         const std::lock_guard<std::mutex> lock(m_mutex);
         for (auto it = m_kinds.begin(); it != m_kinds.end(); ++it) {
-            watched_kind &known = it->second;
-            if (!known.behindSince || now - *known.behindSince < overdueTime)
+            watched_kind &watched = it->second;
+            if (!watched.behindSince || now - *watched.behindSince < maxTimeBehind)
                 continue;
-            // A report that names a newer change comes again if this copy is still behind.
-            known.behindSince.reset();
-            overdue.emplace_back(it->first, known.ahead);
+            // The next report sets it again if this copy is still behind.
+            watched.behindSince.reset();
+            stale.emplace_back(it->first, watched.newerPeer);
         }
     }
-    for (const std::pair<std::string, endpoint> &each : overdue) {
+    for (const std::pair<std::string, endpoint> &each : stale) {
         const result<http_answer> answer = httpCallOnce(
             each.second, {.path = "/copy?kind=" + encodeUri(each.first)}, fetchTimeout);
         if (answer && answer->status == HTTPResponse::HTTP_OK)
-            takeFetched(each.first, answer->body);
+            applyFetchedCopy(each.first, answer->body);
         else
             writeEvent(event_line("store", "copy_fetch_failed")
                            .add("kind", each.first)
@@ -248,22 +251,22 @@
 bool store_watch::lacksInstance(const std::string &name)
 {
     const std::lock_guard<std::mutex> lock(m_mutex);
-    const watched_kind &known = m_kinds.find(store_kinds::instances)->second;
-    return known.isReachable && known.mirror.upTo() > 0
-        && !known.mirror.objects().contains(store_kinds::instances + name);
+    const watched_kind &watched = m_kinds.find(store_kinds::instances)->second;
+    return watched.isReachable && watched.mirror.upTo() > 0
+        && !watched.mirror.objects().contains(store_kinds::instances + name);
 }
 
-std::string store_watch::copyOf(const std::string &kind)
+std::string store_watch::encodeCopy(const std::string &kind)
 {
     const std::lock_guard<std::mutex> lock(m_mutex);
     Json::Value copy(Json::objectValue);
-    const auto known = m_kinds.find(kind);
-    if (known == m_kinds.end())
+    const auto watched = m_kinds.find(kind);
+    if (watched == m_kinds.end())
         return writeJson(copy);
-    copy["up_to"] = Json::UInt64(known->second.mirror.upTo());
-    copy["newest_change"] = Json::UInt64(known->second.mirror.newestChange());
+    copy["up_to"] = Json::UInt64(watched->second.mirror.upTo());
+    copy["newest_change"] = Json::UInt64(watched->second.mirror.newestChange());
     Json::Value list(Json::arrayValue);
-    const std::map<std::string, object, std::less<>> &objects = known->second.mirror.objects();
+    const std::map<std::string, object, std::less<>> &objects = watched->second.mirror.objects();
     for (auto it = objects.begin(); it != objects.end(); ++it) {
         Json::Value entry(Json::objectValue);
         entry["name"] = it->second.name;
@@ -276,7 +279,7 @@
     return writeJson(copy);
 }
 
-void store_watch::takeFetched(const std::string &kind, const std::string &text)
+void store_watch::applyFetchedCopy(const std::string &kind, const std::string &text)
 {
     const result<Json::Value> copy = parseJson(text, "a peer's copy");
     if (!copy || !copy->isObject() || !(*copy)["objects"].isArray()) {
@@ -329,8 +332,8 @@
         return;
     std::vector<std::string> dropped;
     result<serving_tables> decoded = decodeConfiguration(found->second.value, dropped);
-    for (const std::string &sentence : dropped)
-        writeEvent(event_line("configuration", "entry_dropped").add("reason", sentence));
+    for (const std::string &reason : dropped)
+        writeEvent(event_line("configuration", "entry_dropped").add("reason", reason));
     if (!decoded) {
         writeEvent(event_line("configuration", "rejected")
                        .add("revision", found->second.version)
@@ -342,20 +345,20 @@
     if (!m_state.publish(tables))
         return;
     const timestamp now = boot_clock::now();
-    m_state.with([&tables, now](edge_beliefs &beliefs) {
-        beliefs.board.setTables(*tables);
+    m_state.with([&tables, now](routing_state &routing) {
+        routing.board.setTables(*tables);
         for (auto it = tables->teams.begin(); it != tables->teams.end(); ++it) {
             if (it->second.rate > 0)
-                beliefs.limits.setLimit(now, it->first, it->second.rate, it->second.burst);
+                routing.limits.setLimit(now, it->first, it->second.rate, it->second.burst);
         }
-        beliefs.limits.keepOnly(tables->teams);
+        routing.limits.keepOnly(tables->teams);
     });
     writeEvent(event_line("configuration", "in_force")
                    .add("version", tables->version)
                    .add("revision", found->second.version)
                    .add("routes", std::uint64_t {tables->routes.size()})
                    .add("teams", std::uint64_t {tables->teams.size()}));
-    // Entries of services that were not known before become usable.
+    // Server entries of services that were unknown until now become usable.
     std::map<std::string, object, std::less<>> servers;
     {
         const std::lock_guard<std::mutex> lock(m_mutex);
@@ -368,39 +371,39 @@
 {
     const std::shared_ptr<const serving_tables> tables = m_state.tables();
     std::vector<registered_server> servers;
-    std::map<std::string, std::string, std::less<>> known;
+    std::map<std::string, std::string, std::less<>> conditions;
     for (auto it = objects.begin(); it != objects.end(); ++it) {
-        const std::string id = bareName(it->first);
+        const std::string id = nameWithoutKind(it->first);
         result<registered_server> server = decodeServer(id, it->second.value);
         const bool isServed = server && tables && tables->findService(server->service) != nullptr;
         std::string condition = !server ? "unreadable"
             : !isServed                 ? "of an unknown service"
             : server->isLeaving         ? "leaving"
                                         : "ready";
-        const auto before = m_knownServers.find(id);
-        if (before == m_knownServers.end() || before->second != condition)
+        const auto before = m_serverConditions.find(id);
+        if (before == m_serverConditions.end() || before->second != condition)
             writeEvent(event_line("servers", "server_seen")
                            .add("server", id)
                            .add("condition", condition)
                            .add("revision", it->second.version)
                            .add("reason", server ? "" : server.error().message.c_str()));
-        known[id] = std::move(condition);
+        conditions[id] = std::move(condition);
         if (isServed)
             servers.push_back(std::move(*server));
     }
-    for (auto it = m_knownServers.begin(); it != m_knownServers.end(); ++it) {
-        if (!known.contains(it->first))
+    for (auto it = m_serverConditions.begin(); it != m_serverConditions.end(); ++it) {
+        if (!conditions.contains(it->first))
             writeEvent(event_line("servers", "server_gone").add("server", it->first));
     }
-    m_knownServers = std::move(known);
-    m_state.with([&servers](edge_beliefs &beliefs) { beliefs.board.setServers(servers); });
+    m_serverConditions = std::move(conditions);
+    m_state.with([&servers](routing_state &routing) { routing.board.setServers(servers); });
 }
 
 void store_watch::applyWeights(const std::map<std::string, object, std::less<>> &objects)
 {
     const timestamp now = boot_clock::now();
-    const timestamp since = m_hasWeights ? now : now - unknownWeightsAge;
-    m_hasWeights = true;
+    const timestamp since = m_hasAppliedWeights ? now : now - assumedWeightsAge;
+    m_hasAppliedWeights = true;
     for (auto it = objects.begin(); it != objects.end(); ++it) {
         const result<named_weights> weights = decodeNamedWeights(it->second.value);
         if (!weights) {
@@ -409,8 +412,8 @@
                            .add("reason", weights.error().message));
             continue;
         }
-        m_state.with([&weights, since](edge_beliefs &beliefs) {
-            beliefs.board.noteNamedWeights(weights->model, weights->version, since);
+        m_state.with([&weights, since](routing_state &routing) {
+            routing.board.noteNamedWeights(weights->model, weights->version, since);
         });
         writeEvent(event_line("weights", "named")
                        .add("model", weights->model)
@@ -430,8 +433,8 @@
                            .add("reason", request.error().message));
             continue;
         }
-        m_state.with([&request, now](edge_beliefs &beliefs) {
-            beliefs.releases.setRequest(now, request->service, *request);
+        m_state.with([&request, now](routing_state &routing) {
+            routing.releases.setRequest(now, request->service, *request);
         });
         writeEvent(event_line("rollout", "requested")
                        .add("service", request->service)
@@ -447,7 +450,7 @@
     std::vector<member_entry> entries;
     std::vector<std::string> names;
     for (auto it = objects.begin(); it != objects.end(); ++it) {
-        result<member_entry> entry = decodeMember(bareName(it->first), it->second.value);
+        result<member_entry> entry = decodeMember(nameWithoutKind(it->first), it->second.value);
         if (!entry) {
             writeEvent(event_line("members", "entry_dropped")
                            .add("entry", it->first)
@@ -458,10 +461,10 @@
             names.push_back(entry->name);
         entries.push_back(std::move(*entry));
     }
-    m_state.with([&](edge_beliefs &beliefs) {
-        beliefs.members.setListed(now, entries);
-        beliefs.limits.setPeers(now, names);
-        beliefs.shareRetries(m_state.settings(), entries.size());
+    m_state.with([&](routing_state &routing) {
+        routing.members.setListed(now, entries);
+        routing.limits.setPeers(now, names);
+        routing.divideExtraRetries(m_state.settings(), entries.size());
     });
     writeEvent(event_line("members", "listed").add("instances", std::uint64_t {entries.size()}));
 }
--- a/trefoilrouter/src/edge/store_watch.h
+++ b/trefoilrouter/src/edge/store_watch.h
@@ -14,61 +14,63 @@
 
 namespace trefoil {
 
-/// Copies of the store's objects that the instance follows: one thread a kind watches the store; a
-/// copy that falls behind is brought up to date from another instance. What changes is decoded and
-/// becomes belief. Thread-safe.
+/// Keeps local copies of the store's objects. One thread per kind watches the store; a copy that
+/// falls behind is fetched from another instance. Changes are decoded and applied to the instance's
+/// state. Thread-safe.
 class store_watch
 {
 public:
     /// Precondition: @p state and @p store outlive this object.
     store_watch(edge_state &state, store_client &store);
 
-    /// Returns the children that watch, one a kind.
+    /// Returns the children that watch the store, one per kind.
     std::vector<child_spec> children();
-    /// Returns the newest change seen by kind, of the copies that are followed.
+    /// Returns the revision of the newest change in each copy, by kind.
     std::map<std::string, std::uint64_t, std::less<>> newestChanges();
-    /// Notes what another instance has seen; a copy that stays behind for long is fetched from it.
-    void notePeer(timestamp now, const endpoint &peer,
-                  const std::map<std::string, std::uint64_t, std::less<>> &newest);
-    /// Fetches the copies that are overdue, from other instances. May block.
-    void fetchOverdue(timestamp now);
-    /// Drops objects whose time to come back after an outage is over.
+    /// Records the newest changes that another instance has seen. A copy that stays behind them is
+    /// fetched from it.
+    void notePeerChanges(timestamp now, const endpoint &peer,
+                         const std::map<std::string, std::uint64_t, std::less<>> &newest);
+    /// Fetches the copies that have been behind for too long from other instances. May block.
+    void fetchStaleCopies(timestamp now);
+    /// Drops objects that lapsed during an outage and were not written again in time.
     void dropLapsed(timestamp now);
-    /// Returns whether the list of instances is known and lacks @p name.
+    /// Returns whether the instance list is known and has no entry @p name.
     bool lacksInstance(const std::string &name);
     /// Returns the copy of @p kind for another instance, as JSON.
-    std::string copyOf(const std::string &kind);
+    std::string encodeCopy(const std::string &kind);
 
 private:
     struct watched_kind
     {
         object_mirror mirror;
-        duration patience;
-        /// Instances, in the order of their names, that read the newest state.
-        int freshWatchers = 0;
-        /// How long after an outage objects may come back; zero where they don't lapse.
-        duration returnTime {};
+        duration waitTime;
+        /// Number of instances, counted by rank, that read the newest state from the store.
+        int freshReaders = 0;
+        /// How long after an outage lapsed objects may be written again; zero if they don't lapse.
+        duration reregistrationTime {};
         bool isReachable = true;
-        /// Calls that failed since the last one that did not.
+        /// Calls that failed in a row.
         int failures = 0;
-        /// Since when another instance is known to be ahead, and which.
+        /// Since when another instance is known to have newer changes.
         std::optional<timestamp> behindSince;
-        endpoint ahead;
+        /// Address of that instance.
+        endpoint newerPeer;
     };
 
-    /// The instance's place in the fleet.
-    struct fleet_view
+    /// Position of this instance among all instances.
+    struct fleet_position
     {
         int rank = 0;
         int others = 0;
     };
 
-    fleet_view viewFleet();
+    fleet_position fleetPosition();
     duration nextRetryPause(const std::string &kind);
     result<void> watch(const std::string &kind, const std::stop_token &stop);
-    void follow(const std::string &kind, bool &needsSnapshot);
+    void watchOnce(const std::string &kind, bool &needsSnapshot);
     void noteReachable(const std::string &kind, bool reachable, const std::string &reason);
-    void takeFetched(const std::string &kind, const std::string &text);
+    void applyFetchedCopy(const std::string &kind, const std::string &text);
     void apply(const std::string &kind);
     void applyConfiguration(const std::map<std::string, object, std::less<>> &objects);
     void applyServers(const std::map<std::string, object, std::less<>> &objects);
@@ -80,10 +82,10 @@
     store_client &m_store;
     std::mutex m_mutex;
     std::map<std::string, watched_kind, std::less<>> m_kinds;
-    /// Serialises the appliers, so that an older copy can't overwrite a newer one.
+    /// Serialises apply(), so that an older copy can't overwrite a newer one.
     std::mutex m_applyMutex;
-    std::map<std::string, std::string, std::less<>> m_knownServers;
-    bool m_hasWeights = false;
+    std::map<std::string, std::string, std::less<>> m_serverConditions;
+    bool m_hasAppliedWeights = false;
 };
 
 } // namespace trefoil
