--- a/trefoilrouter/src/edge/caller_session.cpp
+++ b/trefoilrouter/src/edge/caller_session.cpp
@@ -216,7 +216,7 @@
 void caller_session::reject(int status, std::string_view message)
 {
     writeEvent(event_line("proxy", "malformed").add("status", status).add("reason", message));
-    m_caller.write(encodeOwnAnswer(status, "", message, std::nullopt, true),
+    m_caller.write(encodeLocalAnswer(status, "", message, std::nullopt, true),
                    boot_clock::now() + ownAnswerTimeout);
     m_caller.close();
 }
--- a/trefoilrouter/src/edge/edge_handlers.cpp
+++ b/trefoilrouter/src/edge/edge_handlers.cpp
@@ -88,8 +88,8 @@
         return {.status = HTTPResponse::HTTP_SERVICE_UNAVAILABLE,
                 .body = "no instance is known to live\n"};
     const duration lifetime = std::min(isDegraded ? degradedDiscoveryLifetime : discoveryLifetime,
-                                       state.settings().longestEntryLife);
-    return {.type = "application/json", .body = encodeEntryAnswer(instances, lifetime)};
+                                       state.settings().maxDiscoveryLifetime);
+    return {.type = "application/json", .body = encodeDiscoveryAnswer(instances, lifetime)};
 }
 
 } // namespace
@@ -97,13 +97,13 @@
 Poco::SharedPtr<Poco::Net::HTTPRequestHandlerFactory> discoveryFactory(edge_state &state)
 {
     return new page_factory([&state](const Poco::URI &uri) -> page {
-        if (uri.getPath() == own_paths::readiness) {
+        if (uri.getPath() == router_paths::readiness) {
             const bool isReady = state.isReady();
             return {.status =
                         isReady ? HTTPResponse::HTTP_OK : HTTPResponse::HTTP_SERVICE_UNAVAILABLE,
                     .body = isReady ? "ready\n" : "not ready\n"};
         }
-        if (uri.getPath() == own_paths::entry)
+        if (uri.getPath() == router_paths::discovery)
             return discoveryPage(state, queryValue(uri, "zone"));
         return {.status = HTTPResponse::HTTP_NOT_FOUND, .body = "no such page\n"};
     });
--- a/trefoilrouter/src/edge/edge_instance.cpp
+++ b/trefoilrouter/src/edge/edge_instance.cpp
@@ -78,7 +78,7 @@
     all.push_back(
         {.name = "callers", .body = callerListener(m_state, m_connections, m_settings.callers)});
     all.push_back({.name = "entry",
-                   .body = httpListener({.place = m_settings.entry,
+                   .body = httpListener({.place = m_settings.discovery,
                                          .threads = discoveryThreads,
                                          .keepsConnections = false,
                                          .factory = discoveryFactory(m_state)})});
--- a/trefoilrouter/src/edge/edge_state.cpp
+++ b/trefoilrouter/src/edge/edge_state.cpp
@@ -39,7 +39,7 @@
              .olderWeightsLimit = settings.weightsDeadline - maxServerWait}),
       limits({.window = settings.limitWindow}),
       members({.self = settings.name, .zone = settings.zone}),
-      releases({.trialShare = settings.exposeShare / 2}),
+      releases({.trialShare = settings.maxBadReleaseShare / 2}),
       retryBudgetOptions(retryBudgetOptionsOf(settings))
 { }
 
--- a/trefoilrouter/src/edge/leader_runner.cpp
+++ b/trefoilrouter/src/edge/leader_runner.cpp
@@ -26,10 +26,10 @@
 constexpr duration cacheStoreWaitTime = std::chrono::milliseconds(800);
 constexpr duration minCacheStoreWaitTime = std::chrono::milliseconds(250);
 constexpr duration cacheStorePause = std::chrono::milliseconds(400);
-/// Added to the time that the platform requires between two leaders.
+/// Added to the time that the platform requires between orders of two leaders.
 constexpr duration quietMargin = std::chrono::milliseconds(300);
 
-const std::string leaseObject = std::string(store_kinds::duties) + "weights";
+const std::string leaseObject = std::string(store_kinds::leases) + "weights";
 
 std::string_view answerName(order_answer answer)
 {
@@ -42,7 +42,7 @@
 leader_runner::leader_runner(edge_state &state, store_client &store, work_queue &queue)
     : m_state(state), m_store(store), m_queue(queue),
       m_lease({.self = state.settings().name,
-               .quietTime = state.settings().dutyQuietTime + quietMargin}),
+               .quietTime = state.settings().leaderQuietTime + quietMargin}),
       m_plan({})
 { }
 
@@ -254,7 +254,7 @@
         }
         std::vector<registered_server> servers;
         weights_plan::inputs planInputs;
-        const duration quietTime = m_state.settings().dutyQuietTime + quietMargin;
+        const duration quietTime = m_state.settings().leaderQuietTime + quietMargin;
         m_state.with([&](routing_state &routing) {
             servers = routing.board.servers();
             planInputs.newest = routing.board.newestWeights();
--- a/trefoilrouter/src/edge/leader_runner.h
+++ b/trefoilrouter/src/edge/leader_runner.h
@@ -26,7 +26,8 @@
     /// Returns the children that run the leader's tasks. @p exchange reports orders to the other
     /// instances at once.
     std::vector<child_spec> children(peer_exchange &exchange);
-    /// Returns what the other instances are told. Thread-safe.
+    /// Returns the leader's part of a report; empty if this instance is not the leader.
+    /// Thread-safe.
     leader_report report();
 
 private:
--- a/trefoilrouter/src/edge/request_runner.cpp
+++ b/trefoilrouter/src/edge/request_runner.cpp
@@ -115,8 +115,8 @@
     if (m_team == nullptr && !m_route->isOpen && !m_tables->teams.empty())
         return refusal {HTTPResponse::HTTP_UNAUTHORIZED, "unknown key", std::nullopt};
     m_deadline = m_request.receivedAt + m_route->timeout;
-    if (m_fields.patience)
-        m_deadline = std::min(m_deadline, m_request.receivedAt + *m_fields.patience);
+    if (m_fields.timeout)
+        m_deadline = std::min(m_deadline, m_request.receivedAt + *m_fields.timeout);
     chooseService();
     const std::string_view team = m_team == nullptr ? std::string_view {} : m_team->name;
     m_bodyDigest = digestOf(m_request.body, digestOf(m_request.head.target, digestOf(team)));
@@ -137,8 +137,8 @@
         return std::nullopt;
     m_limitCost = 1;
     if (m_team->unit == limit_unit::Tokens)
-        m_limitCost = m_fields.hasTokens ? m_fields.promptTokens + m_fields.outputTokens
-                                         : m_team->plainTokens;
+        m_limitCost = m_fields.hasTokenCounts ? m_fields.promptTokens + m_fields.outputTokens
+                                              : m_team->plainTokens;
     team_limits::team_view view;
     const std::optional<duration> wait = m_state.with([&](routing_state &routing) {
         view = routing.limits.view(now, m_team->name);
@@ -338,10 +338,10 @@
         m_request.head, m_request.body.size(),
         {.server = placed.server,
          .team = m_team == nullptr ? std::string_view {} : m_team->name,
-         .left = m_deadline - boot_clock::now(),
+         .timeLeft = m_deadline - boot_clock::now(),
          .priority = std::clamp(teamPriority * priorityStep + m_route->priority, 0, lastPriority),
          .weights = placed.weights,
-         .cacheName = placed.cacheName,
+         .cacheSalt = placed.cacheName,
          .cacheSource = placed.cacheSource,
          .cacheSink = placed.cacheSink,
          .lastEventId = lastEvent});
@@ -685,8 +685,8 @@
         m_state.with(
             [&](routing_state &routing) { routing.limits.giveBack(m_team->name, m_limitCost); });
     logEnd(refused.reason, refused.status);
-    const std::string text = encodeOwnAnswer(refused.status, m_fields.requestId, refused.reason,
-                                             refused.retryAfter, m_closesConnection);
+    const std::string text = encodeLocalAnswer(refused.status, m_fields.requestId, refused.reason,
+                                               refused.retryAfter, m_closesConnection);
     return m_caller.write(text, boot_clock::now() + std::chrono::seconds(1));
 }
 
