--- a/libs/control/benchmarks/bench_capacity.cpp
+++ b/libs/control/benchmarks/bench_capacity.cpp
@@ -185,11 +185,11 @@
         const double before = heapBytes();
         configuration_store store;
         const double seconds = secondsOf(
-            [&] { store.take({.name = config_names::routes, .version = 1, .value = text}); });
+            [&] { store.apply({.name = config_names::routes, .version = 1, .value = text}); });
         lease_keeper keeper({.self = "n", .zone = "a", .keys = shardKeys(32)}, timestamp());
         limit_node limits({.self = "n"}, keeper);
         std::map<std::string, token_limit, std::less<>> rates;
-        for (const team &each : store.view()->routes.teams)
+        for (const team &each : store.snapshot()->routes.teams)
             rates[each.name] = {.rate = static_cast<double>(each.rate),
                                 .burst = static_cast<double>(each.burst)};
         limits.setTeams(timestamp(), rates);
--- a/libs/control/benchmarks/control_world.cpp
+++ b/libs/control/benchmarks/control_world.cpp
@@ -55,7 +55,7 @@
                              .seeds = {nameOf(0), nameOf(1)},
                              .randomSeed = m_seed * 1000 + m_incarnation};
     m_nodes[name] = std::make_unique<control_node>(std::move(options), now);
-    m_inForce[name] = std::make_shared<const configuration_view>();
+    m_activeConfiguration[name] = std::make_shared<const configuration_snapshot>();
 }
 
 void control_world::apply(const std::string &name, const std::string &value)
@@ -119,8 +119,8 @@
             m_relays.erase(reply->token);
             answer(asker.from, asker.id, name, reply->answer);
         } else if (const publish_snapshot *published = std::get_if<publish_snapshot>(&action)) {
-            m_inForce[name] = published->snapshot->configuration;
-        } else if (const traffic_decision *decision = std::get_if<traffic_decision>(&action)) {
+            m_activeConfiguration[name] = published->snapshot->configuration;
+        } else if (const request_decision *decision = std::get_if<request_decision>(&action)) {
             if (onDecision)
                 onDecision(name, *decision);
         } else if (const server_poll *poll = std::get_if<server_poll>(&action)) {
@@ -233,7 +233,7 @@
                              .id = action.id,
                              .prefix = watch.prefix,
                              .from = watch.from,
-                             .deadline = now + watch.patience});
+                             .deadline = now + watch.maxWait});
         return;
     }
     after(std::chrono::milliseconds(4), [this, name, action = std::move(action)] {
--- a/libs/control/benchmarks/control_world.h
+++ b/libs/control/benchmarks/control_world.h
@@ -35,7 +35,10 @@
     void apply(const std::string &name, const std::string &value);
     control_node &node(const std::string &name) { return *m_nodes.at(name); }
     /// Returns the configuration that @p name last published to its traffic threads.
-    const configuration_view &inForce(const std::string &name) { return *m_inForce.at(name); }
+    const configuration_snapshot &inForce(const std::string &name)
+    {
+        return *m_activeConfiguration.at(name);
+    }
     std::vector<std::string> names() const;
     static std::string nameOf(int index);
 
@@ -50,7 +53,7 @@
     std::uint64_t platformWrites = 0;
     std::uint64_t platformWatches = 0;
     /// Called with each decision on a request.
-    std::function<void(const std::string &node, const traffic_decision &)> onDecision;
+    std::function<void(const std::string &node, const request_decision &)> onDecision;
 
 private:
     struct pending_watch
@@ -81,7 +84,7 @@
     std::mt19937_64 m_random;
     object_table m_objects;
     std::map<std::string, std::unique_ptr<control_node>> m_nodes;
-    std::map<std::string, std::shared_ptr<const configuration_view>> m_inForce;
+    std::map<std::string, std::shared_ptr<const configuration_snapshot>> m_activeConfiguration;
     std::multimap<timestamp, std::function<void()>> m_due;
     std::vector<pending_watch> m_watches;
     struct relay
--- a/libs/control/include/control/configuration_store.h
+++ b/libs/control/include/control/configuration_store.h
@@ -15,7 +15,7 @@
 
 namespace trefoil {
 
-/// Names of the configuration's objects in the platform.
+/// Names of the configuration objects in the platform's object store.
 namespace config_names {
 inline constexpr const char *prefix = "config/";
 inline constexpr const char *routes = "config/routes";
@@ -23,82 +23,91 @@
 inline constexpr const char *keysPrefix = "config/keys/";
 } // namespace config_names
 
-/// A caller's key as the platform holds it: never the key itself.
+/// Stored form of a caller's API key. Holds only the key's digest, never the key itself.
 struct key_entry
 {
     /// SHA-256 of the key in hexadecimal.
     std::string digest;
     std::string team;
-    /// What the issuer called it.
+    /// Label given by the issuer.
     std::string name;
 
     bool operator==(const key_entry &) const = default;
 };
 
-/// Returns the SHA-256 of a caller's key in hexadecimal. Thread-safe.
+/// Returns the SHA-256 of a caller's API key in hexadecimal. Thread-safe.
 std::string keyDigest(std::string_view key);
 
-/// Returns the name of the object that holds the key with @p digest: keys are spread over sixteen
-/// objects, so that 2,700 teams' keys stay far below an object's megabyte. Thread-safe.
+/// Returns the name of the object that holds the key with @p digest. Keys are partitioned over
+/// sixteen objects by the first hexadecimal digit, so that the keys of 2,700 teams stay far below
+/// the object size limit of one megabyte. Thread-safe.
 std::string keyObjectName(std::string_view digest);
 
-/// Returns the text of a key object. Thread-safe.
+/// Serializes @p keys as the value of a key object. Thread-safe.
 std::string keysToText(const std::vector<key_entry> &keys);
 
-/// Reads a key object. Error: "bad-keys". Thread-safe.
+/// Parses the value of a key object. Errors: "bad-json"; "bad-keys" if it is not a list of valid
+/// entries. Thread-safe.
 result<std::vector<key_entry>> keysFromText(std::string_view text);
 
-/// The configuration in force, immutable once published.
-struct configuration_view
+/// Active configuration. Immutable once published.
+struct configuration_snapshot
 {
     route_table routes;
     pool_table pools;
     std::unordered_map<std::string, key_entry> keys; // by digest
     std::uint64_t routesVersion = 0;
     std::uint64_t poolsVersion = 0;
-    /// Highest version of the key objects.
+    /// Highest version among the key objects.
     std::uint64_t keysVersion = 0;
 };
 
-/// Takes objects of the configuration from wherever they come and keeps the newest sound ones in
-/// force. Versions only rise. An object that fails its checks is remembered as seen and refused;
-/// what was in force stays. Not thread-safe.
+/// Validates configuration objects from any source and keeps the newest valid version of each one
+/// active. Active versions never decrease. An object that fails validation is recorded as rejected,
+/// and the previously active version stays active. Not thread-safe.
 class configuration_store
 {
 public:
     configuration_store();
 
-    /// Takes @p item. Returns whether what is in force changed.
-    bool take(const object &item);
-    /// Returns the newest sound object of @p name, or null: what peers may be given.
+    /// Validates @p item and activates it if it is valid. Returns whether it was activated; a
+    /// version that isProcessed() is ignored.
+    bool apply(const object &item);
+    /// Returns the newest valid object named @p name, or null if there is none. Peers are served
+    /// this object. The pointer is invalidated by apply().
     const object *find(std::string_view name) const;
-    /// Returns the version in force of @p name; 0 where there is none.
+    /// Returns the active version of @p name, or 0 if there is none.
     std::uint64_t versionOf(std::string_view name) const;
-    /// Returns whether version @p version of @p name need not be had any more: it is in force, an
-    /// older one of something in force, or was refused.
-    bool isSettled(std::string_view name, std::uint64_t version) const;
-    /// Returns what is in force. The view does not change; a new one replaces it.
-    std::shared_ptr<const configuration_view> view() const { return m_view; }
-    /// Returns whether both tables are in force.
-    bool isComplete() const { return m_view->routesVersion > 0 && m_view->poolsVersion > 0; }
-    /// Returns the findings for which the newest objects are not in force.
-    const findings &refused() const { return m_refused; }
+    /// Returns whether version @p version of @p name needs no fetch: it is active, older than the
+    /// active version, or the last rejected version.
+    bool isProcessed(std::string_view name, std::uint64_t version) const;
+    /// Returns the active configuration. apply() publishes a new snapshot instead of changing this
+    /// one.
+    std::shared_ptr<const configuration_snapshot> snapshot() const { return m_snapshot; }
+    /// Returns whether both the routes and the pools table are active.
+    bool isComplete() const
+    {
+        return m_snapshot->routesVersion > 0 && m_snapshot->poolsVersion > 0;
+    }
+    /// Returns the findings for which the newest objects were rejected, and the route references
+    /// that the active pools table does not resolve.
+    const findings &rejectionFindings() const { return m_rejectionFindings; }
 
 private:
-    bool parse(const object &item, findings &faults);
+    bool parse(const object &item, findings &problems);
     void rebuild();
 
-    std::map<std::string, object, std::less<>> m_objects; // sound ones
-    std::map<std::string, std::uint64_t, std::less<>> m_refusedVersions;
-    // The newest sound text of each table and of each key object.
+    std::map<std::string, object, std::less<>> m_objects; // valid ones only
+    std::map<std::string, std::uint64_t, std::less<>> m_rejectedVersions;
+    // Parsed form of the newest valid version of each object.
     std::optional<route_table> m_routes;
     std::optional<pool_table> m_pools;
     std::uint64_t m_routesVersion = 0;
     std::uint64_t m_poolsVersion = 0;
     std::map<std::string, std::vector<key_entry>> m_keys;
-    std::map<std::string, findings> m_faults;
-    findings m_refused;
-    std::shared_ptr<const configuration_view> m_view;
+    std::map<std::string, findings> m_findingsByObject;
+    findings m_rejectionFindings;
+    std::shared_ptr<const configuration_snapshot> m_snapshot;
 };
 
 } // namespace trefoil
--- a/libs/control/include/control/control_node.h
+++ b/libs/control/include/control/control_node.h
@@ -12,9 +12,9 @@
 
 #include <control/configuration_store.h>
 #include <control/peer_codec.h>
-#include <control/platform_link.h>
-#include <control/rollout_desk.h>
-#include <control/traffic_desk.h>
+#include <control/platform_read_scheduler.h>
+#include <control/request_coordinator.h>
+#include <control/rollout_coordinator.h>
 #include <control/traffic_snapshot.h>
 #include <core/clock.h>
 #include <gossip/membership.h>
@@ -23,26 +23,27 @@
 
 namespace trefoil {
 
-/// Options of a control node.
+/// Options of a control_node.
 struct control_options
 {
     member_info self;
-    /// "address:port" of peers' listeners asked first.
+    /// Addresses ("address:port") of the peer listeners contacted first to join the cluster.
     std::vector<std::string> seeds;
     std::uint64_t randomSeed = 0;
+    /// Number of leases over which the limits of all teams are hashed.
     int limitShards = 32;
 };
 
-/// Actions that the driver carries out. @{
+/// Actions that the driver must execute. @{
 
-/// Send a request to a peer; report its answer or failure under @c id.
+/// Send a request to the peer at address @c to; report its answer or failure under @c id.
 struct peer_send
 {
     std::uint64_t id = 0;
     std::string to;
     peer_request request;
 };
-/// Answer a peer's request that onPeerRequest() did not answer at once.
+/// Send the answer to a peer's request that onPeerRequest() did not answer immediately.
 struct peer_reply
 {
     std::uint64_t token = 0;
@@ -54,7 +55,7 @@
     std::uint64_t id = 0;
     platform_request request;
 };
-/// Read a backend server's load and its cache events from @c fromSequence on.
+/// Read the load of a backend server and its cache events from @c fromSequence on.
 struct server_poll
 {
     std::string server;
@@ -62,22 +63,22 @@
     std::string credential;
     std::uint64_t fromSequence = 0;
 };
-/// Give an order to a backend server; report the outcome.
+/// Send an order to a backend server; report the outcome under @c id.
 struct server_order_call
 {
     std::uint64_t id = 0;
     server_order order;
 };
-/// Hand the snapshot to the traffic threads.
+/// Publish the snapshot to the request threads.
 struct publish_snapshot
 {
     std::shared_ptr<const traffic_snapshot> snapshot;
 };
 using control_action = std::variant<peer_send, peer_reply, platform_call, server_poll,
-                                    server_order_call, traffic_decision, publish_snapshot>;
+                                    server_order_call, request_decision, publish_snapshot>;
 /// @}
 
-/// One cache event of a backend server.
+/// A change of a backend server's prefix cache.
 struct cache_event
 {
     std::uint64_t sequence = 0;
@@ -95,15 +96,15 @@
     std::uint64_t nextSequence = 0;
 };
 
-/// All control state of one instance: a pure state machine.
+/// Complete control state of one instance, as a pure state machine.
 ///
 ///     control_node node(options, now);
 ///     node.tick(now, wallMilliseconds());
 ///     for (control_action &action : node.takeActions())
 ///         carryOut(std::move(action));
 ///
-/// tick() is to be called about every 10 ms and takeActions() after every event. Not thread-safe:
-/// one control thread owns it.
+/// tick() must be called about every 10 ms and takeActions() after every event. Not thread-safe: it
+/// is owned by one control thread.
 class control_node
 {
 public:
@@ -112,147 +113,158 @@
     /// @name Events
     /// @{
 
-    /// Lets time pass. @p wallMilliseconds is used for deadlines of rollouts and versions of
-    /// rumors.
+    /// Advances time and does the periodic work. @p wallMilliseconds: wall-clock time in
+    /// milliseconds since the epoch, used for rollout deadlines and rumor versions.
     void tick(timestamp now, std::uint64_t wallMilliseconds);
-    /// Answers a peer at once, or later by a peer_reply with @p token.
+    /// Handles a peer's request. Returns the answer, or nothing if it follows in a peer_reply with
+    /// @p token.
     std::optional<peer_answer> onPeerRequest(timestamp now, std::uint64_t token,
                                              const peer_request &request);
-    /// Takes a peer's answer to call @p id; unknown numbers are ignored, here and below.
+    /// Handles a peer's answer to call @p id. Unknown identifiers are ignored, here and below.
     void onPeerAnswer(timestamp now, std::uint64_t id, const peer_answer &answer);
-    /// Notes that call @p id had no answer; see lease_keeper::onFailure() for the last argument.
+    /// Handles the failure of call @p id. See lease_keeper::onFailure() for @p connectionRefused.
     void onPeerFailure(timestamp now, std::uint64_t id, bool connectionRefused);
-    /// Takes the platform's answer to call @p id, of the kind that belongs to its request.
+    /// Handles the platform's answer to call @p id. Precondition: @p answer holds the alternative
+    /// that belongs to the request.
     void onPlatformAnswer(timestamp now, std::uint64_t id, const platform_answer &answer);
-    /// Takes a poll's answer; nothing where the server did not give one.
+    /// Handles the answer to a server_poll; @p report is empty if the server did not answer.
     void onServerState(timestamp now, const std::string &server,
                        const std::optional<server_state_report> &report);
-    /// Takes the outcome of order @p id.
+    /// Handles the outcome of order @p id.
     void onOrderDone(timestamp now, std::uint64_t id, bool accepted);
-    /// Starts a graceful shutdown: hands rights over and takes no new ones.
+    /// Starts a graceful shutdown: hands the held leases over and acquires no new ones.
     void leave(timestamp now);
 
     /// @}
-    /// @name Traffic
-    /// See traffic_desk for each.
+    /// @name Requests
+    /// See the functions of the same names in request_coordinator.
     /// @{
 
-    void begin(timestamp now, traffic_begin request);
-    void onFailed(timestamp now, const traffic_failed &report);
-    void onFirstToken(timestamp now, const traffic_first_token &report);
-    void onEnd(timestamp now, const traffic_end &report);
+    void begin(timestamp now, incoming_request request);
+    void onFailed(timestamp now, const attempt_failure_report &report);
+    void onFirstToken(timestamp now, const first_token_report &report);
+    void onEnd(timestamp now, const request_end_report &report);
 
     /// @}
     /// @name Results
     /// @{
 
-    /// Returns what is to be done since the last call, in order.
+    /// Returns the actions produced since the last call, in order of execution.
     std::vector<control_action> takeActions();
-    /// Returns whether this instance holds the right @p key at @p now; asked directly before an
-    /// order is sent.
+    /// Returns whether this instance holds the lease @p key at @p now. Must be checked directly
+    /// before an order is sent.
     bool holds(timestamp now, const std::string &key) const { return m_leases.holds(now, key); }
-    /// Returns what status prints, as JSON.
+    /// Returns the status report as JSON.
     Json::Value status(timestamp now);
-    /// Returns whether all rights were handed over after leave().
+    /// Returns whether all leases were handed over after leave().
     bool released() const { return m_leases.released(); }
-    /// Returns the number of requests not ended.
-    std::size_t openRequests() const { return m_traffic.open(); }
+    /// Returns the number of requests in progress.
+    std::size_t openRequests() const { return m_requestCoordinator.openRequests(); }
 
     /// @}
 
 private:
-    /// What an open call to a peer or the platform was made for. @{
-    struct for_gossip
+    /// Context of a pending call to a peer or the platform, needed to handle its answer. @{
+    struct gossip_context
     {
         std::uint64_t id = 0;
     };
-    struct for_lease
+    struct lease_context
     {
         std::uint64_t id = 0;
     };
-    struct for_grant
+    struct grant_context
     {
         std::uint64_t id = 0;
     };
-    struct for_fetch
+    struct fetch_context
     {
         std::string name;
     };
-    struct for_link
+    struct scheduled_read_context
     {
-        platform_link::read kind = platform_link::read::Objects;
+        platform_read_scheduler::read_kind kind = platform_read_scheduler::read_kind::Objects;
         std::string prefix;
     };
-    struct for_lease_read
+    struct lease_read_context
     {
         std::string key;
     };
-    struct for_lease_write
+    struct lease_write_context
     {
         std::string key;
     };
-    struct for_claim
+    struct claim_context
     {
         claim_call::operation kind = claim_call::operation::Create;
         std::uint64_t id = 0;
     };
-    struct for_rollout
+    struct rollout_write_context
     {
         std::string pool;
     };
-    struct for_status
+    struct status_context
     {
         bool isRead = false;
     };
-    struct for_config
+    struct object_read_context
     { };
     /// @}
-    using peer_purpose = std::variant<for_gossip, for_lease, for_grant, for_fetch>;
-    using platform_purpose = std::variant<for_link, for_lease_read, for_lease_write, for_claim,
-                                          for_rollout, for_status, for_config>;
+    using peer_call_context =
+        std::variant<gossip_context, lease_context, grant_context, fetch_context>;
+    using platform_call_context =
+        std::variant<scheduled_read_context, lease_read_context, lease_write_context, claim_context,
+                     rollout_write_context, status_context, object_read_context>;
 
-    /// A configuration object known to be newer elsewhere.
+    /// Pending fetch of a configuration object of which a newer version was announced.
     struct pending_fetch
     {
         std::uint64_t version = 0;
+        /// Instance that announced the version.
         std::string origin;
-        int tries = 0;
-        bool open = false;
-        timestamp nextTry;
+        int attempts = 0;
+        bool inFlight = false;
+        timestamp nextAttempt;
     };
 
-    void sendPeer(std::string to, peer_request request, peer_purpose purpose);
-    void callPlatform(platform_request request, platform_purpose purpose);
+    void sendPeer(std::string to, peer_request request, peer_call_context context);
+    void callPlatform(platform_request request, platform_call_context context);
     std::string peerAddress(const std::string &name) const;
 
     void tickMembership(timestamp now);
     void tickLeases(timestamp now);
     void tickLimits(timestamp now);
-    void tickLink(timestamp now);
+    void tickPlatformReads(timestamp now);
     void tickFetches(timestamp now);
     void tickPolls(timestamp now);
     void tickRollouts(timestamp now);
-    void tickEvidence(timestamp now);
+    void publishOutcomes(timestamp now);
     void tickStatus(timestamp now);
-    void flushTraffic(timestamp now);
+    void flushRequestResults(timestamp now);
     void flushLeaseEvents(timestamp now);
 
-    void onNews(timestamp now, const rumor &item);
-    void onEvidenceRumor(const rumor &item);
-    void takeObject(timestamp now, const object &item);
-    void takeObjects(timestamp now, const std::vector<object> &items);
-    void onLinkAnswer(timestamp now, const for_link &purpose, const platform_answer &answer);
-    void onWriteAnswer(timestamp now, const platform_purpose &purpose,
+    void onRumor(timestamp now, const rumor &item);
+    void onOutcomesRumor(const rumor &item);
+    void applyObject(timestamp now, const object &item);
+    void applyObjects(timestamp now, const std::vector<object> &items);
+    void onScheduledRead(timestamp now, const scheduled_read_context &context,
+                         const platform_answer &answer);
+    void onWriteAnswer(timestamp now, const platform_call_context &context,
                        const result<std::uint64_t> &answer);
-    void publishInForce();
+    void publishActiveVersions();
     Json::Value reportMembers() const;
     Json::Value reportVersions() const;
     Json::Value reportRollouts() const;
+    /// Returns whether this instance is one of those of its zone that watch the configuration.
     bool isWatcher() const;
-    bool isFirstFor(std::string_view duty) const;
-    bool reachesMajority() const;
-    void updateAttachment(timestamp now);
+    /// Returns whether rendezvous hashing assigns the fleet-wide @p task to this instance.
+    bool isResponsibleFor(std::string_view task) const;
+    /// Returns whether more than half of the fleet is alive from this instance's point of view.
+    bool seesMajority() const;
+    /// Updates traffic_snapshot::attached.
+    void updateConnectivity(timestamp now);
     void publishSnapshot();
+    /// Returns a version above those of all rumors that this instance published before.
     std::uint64_t nextRumorVersion();
 
     control_options m_options;
@@ -261,35 +273,35 @@
     membership m_members;
     lease_keeper m_leases;
     limit_node m_limits;
-    traffic_desk m_traffic;
-    rollout_desk m_rollouts;
-    platform_link m_link;
+    request_coordinator m_requestCoordinator;
+    rollout_coordinator m_rolloutCoordinator;
+    platform_read_scheduler m_platformReads;
     configuration_store m_configuration;
 
     std::uint64_t m_nextId = 1;
-    std::map<std::uint64_t, peer_purpose> m_peerCalls;
-    std::map<std::uint64_t, platform_purpose> m_platformCalls;
-    std::map<std::uint64_t, server_order> m_orders;
+    std::map<std::uint64_t, peer_call_context> m_peerCalls;
+    std::map<std::uint64_t, platform_call_context> m_platformCalls;
+    std::map<std::uint64_t, server_order> m_pendingOrders;
     std::map<std::string, pending_fetch, std::less<>> m_fetches;
     std::map<std::string, std::uint64_t, std::less<>> m_eventSequences;
     std::map<std::string, timestamp, std::less<>> m_nextPoll;
-    std::set<std::string, std::less<>> m_openPolls;
-    std::vector<std::string> m_listed;
-    std::map<std::string, outcome_counts> m_seenEvidence;
-    std::map<traffic_desk::evidence_key, outcome_counts> m_publishedEvidence;
+    std::set<std::string, std::less<>> m_pollsInFlight;
+    std::vector<std::string> m_listedInstances;
+    std::map<std::string, outcome_counts> m_seenOutcomes;
+    std::map<request_coordinator::outcome_key, outcome_counts> m_publishedOutcomes;
     std::uint64_t m_rumorVersion = 0;
-    timestamp m_nextFleet;
-    timestamp m_nextEvidence;
+    timestamp m_nextFleetUpdate;
+    timestamp m_nextOutcomePublish;
     timestamp m_nextStatus;
     std::uint64_t m_statusVersion = 0;
-    bool m_statusKnown = false;
-    bool m_statusOpen = false;
-    std::string m_statusWritten;
-    std::optional<timestamp> m_peerAnswerAt;
-    std::shared_ptr<const configuration_view> m_inForce;
+    bool m_statusVersionKnown = false;
+    bool m_statusCallInFlight = false;
+    std::string m_lastStatusText;
+    std::optional<timestamp> m_lastPeerAnswer;
+    std::shared_ptr<const configuration_snapshot> m_activeConfiguration;
     traffic_snapshot m_snapshot;
     bool m_snapshotDirty = true;
-    bool m_isWatcher = false; // as of the last change of members
+    bool m_isWatcher = false; // updated when the members change
     std::vector<control_action> m_actions;
 };
 
--- a/libs/control/include/control/peer_codec.h
+++ b/libs/control/include/control/peer_codec.h
@@ -11,29 +11,29 @@
 
 namespace trefoil {
 
-/// Asks a peer for its copy of a configuration object.
+/// Request for a peer's copy of a configuration object.
 struct config_fetch
 {
     std::string name;
 };
 
-/// Everything that instances ask each other.
+/// Any request from one instance to another.
 using peer_request =
     std::variant<gossip_ping, gossip_relay, gossip_sync, confirm_ask, grant_ask, config_fetch>;
 
-/// Everything that they answer. An object with version 0 stands for "not known here".
+/// Any answer to a peer_request. An object with version 0 means that the peer does not have it.
 using peer_answer = std::variant<gossip_ack, gossip_relayed, confirm_answer, grant_answer, object>;
 
-/// Returns @p request as the message that travels. Thread-safe.
+/// Encodes @p request as a wire message. Thread-safe.
 Json::Value toJson(const peer_request &request);
 
-/// Reads a request. Error: "bad-message". Thread-safe.
+/// Decodes a request. Error: "bad-message". Thread-safe.
 result<peer_request> peerRequestFromJson(const Json::Value &message);
 
-/// Returns @p answer as the message that travels. Thread-safe.
+/// Encodes @p answer as a wire message. Thread-safe.
 Json::Value toJson(const peer_answer &answer);
 
-/// Reads an answer. Error: "bad-message". Thread-safe.
+/// Decodes an answer. Error: "bad-message". Thread-safe.
 result<peer_answer> peerAnswerFromJson(const Json::Value &message);
 
 } // namespace trefoil
--- a/libs/control/src/configuration_store.cpp
+++ b/libs/control/src/configuration_store.cpp
@@ -53,34 +53,35 @@
 }
 
 configuration_store::configuration_store()
-    : m_view(std::make_shared<const configuration_view>()) { }
+    : m_snapshot(std::make_shared<const configuration_snapshot>())
+{ }
 
-bool configuration_store::take(const object &item)
+bool configuration_store::apply(const object &item)
 {
-    if (isSettled(item.name, item.version))
+    if (isProcessed(item.name, item.version))
         return false;
-    findings faults;
-    const bool sound = parse(item, faults);
-    if (sound)
+    findings problems;
+    const bool isValid = parse(item, problems);
+    if (isValid)
         m_objects[item.name] = item;
     else
-        m_refusedVersions[item.name] = item.version;
-    // An older sound object may come after a newer faulty one: a restarted instance gets the one in
-    // force from its peers. The findings of the newer one stay.
-    const auto refused = m_refusedVersions.find(item.name);
-    const bool isNewest = refused == m_refusedVersions.end() || item.version >= refused->second;
+        m_rejectedVersions[item.name] = item.version;
+    // An older valid object may arrive after a newer rejected one: a restarted instance fetches the
+    // active version from its peers. The findings of the newer version are kept.
+    const auto rejected = m_rejectedVersions.find(item.name);
+    const bool isNewest = rejected == m_rejectedVersions.end() || item.version >= rejected->second;
     if (isNewest)
-        m_faults[item.name] = std::move(faults);
+        m_findingsByObject[item.name] = std::move(problems);
     rebuild();
-    return sound;
+    return isValid;
 }
 
-bool configuration_store::parse(const object &item, findings &faults)
+bool configuration_store::parse(const object &item, findings &problems)
 {
     if (item.name == config_names::routes) {
         tl::expected<route_table, findings> read = readRoutes(item.value, item.name);
         if (!read) {
-            faults = read.error();
+            problems = read.error();
             return false;
         }
         m_routes = std::move(*read);
@@ -90,7 +91,7 @@
     if (item.name == config_names::pools) {
         tl::expected<pool_table, findings> read = readPools(item.value, item.name);
         if (!read) {
-            faults = read.error();
+            problems = read.error();
             return false;
         }
         m_pools = std::move(*read);
@@ -98,23 +99,23 @@
         return true;
     }
     if (!item.name.starts_with(config_names::keysPrefix)) {
-        faults.push_back({.file = item.name, .message = "no such configuration object"});
+        problems.push_back({.file = item.name, .message = "no such configuration object"});
         return false;
     }
     result<std::vector<key_entry>> read = keysFromText(item.value);
     if (!read) {
-        faults.push_back({.file = item.name, .message = read.error().message});
+        problems.push_back({.file = item.name, .message = read.error().message});
         return false;
     }
     m_keys[item.name] = std::move(*read);
     return true;
 }
 
-bool configuration_store::isSettled(std::string_view name, std::uint64_t version) const
+bool configuration_store::isProcessed(std::string_view name, std::uint64_t version) const
 {
-    const auto refused = m_refusedVersions.find(name);
+    const auto rejected = m_rejectedVersions.find(name);
     return version <= versionOf(name)
-        || (refused != m_refusedVersions.end() && version == refused->second);
+        || (rejected != m_rejectedVersions.end() && version == rejected->second);
 }
 
 const object *configuration_store::find(std::string_view name) const
@@ -131,7 +132,7 @@
 
 void configuration_store::rebuild()
 {
-    configuration_view next;
+    configuration_snapshot next;
     if (m_routes)
         next.routes = *m_routes;
     if (m_pools)
@@ -143,16 +144,16 @@
             next.keys[each.digest] = each;
         next.keysVersion = std::max(next.keysVersion, versionOf(it->first));
     }
-    m_refused.clear();
-    for (auto it = m_faults.begin(); it != m_faults.end(); ++it)
-        m_refused.insert(m_refused.end(), it->second.begin(), it->second.end());
-    // The tables arrive one by one, so a name that does not join yet is reported, and the requests
-    // that need it are refused, but neither table waits for the other.
+    m_rejectionFindings.clear();
+    for (auto it = m_findingsByObject.begin(); it != m_findingsByObject.end(); ++it)
+        m_rejectionFindings.insert(m_rejectionFindings.end(), it->second.begin(), it->second.end());
+    // The tables arrive independently. An unresolved reference between them is reported and the
+    // requests that need it are refused, but neither table waits for the other.
     if (m_routes && m_pools) {
-        const findings dangling = checkJoin(*m_routes, *m_pools, config_names::routes);
-        m_refused.insert(m_refused.end(), dangling.begin(), dangling.end());
+        const findings unresolved = checkJoin(*m_routes, *m_pools, config_names::routes);
+        m_rejectionFindings.insert(m_rejectionFindings.end(), unresolved.begin(), unresolved.end());
     }
-    m_view = std::make_shared<const configuration_view>(std::move(next));
+    m_snapshot = std::make_shared<const configuration_snapshot>(std::move(next));
 }
 
 } // namespace trefoil
--- a/libs/control/src/control_names.cpp
+++ b/libs/control/src/control_names.cpp
@@ -2,20 +2,20 @@
 
 #include <charconv>
 
-#include <control/rollout_desk.h>
+#include <control/rollout_coordinator.h>
 #include <limits/limit_node.h>
 
 namespace trefoil {
 
-std::vector<std::string> allRights(int limitShards)
+std::vector<std::string> allLeaseKeys(int limitShards)
 {
     std::vector<std::string> keys = shardKeys(limitShards);
-    const std::vector<std::string> rollouts = rolloutKeys();
+    const std::vector<std::string> rollouts = rolloutLeaseKeys();
     keys.insert(keys.end(), rollouts.begin(), rollouts.end());
     return keys;
 }
 
-bool parseNumbers(std::string_view text, std::span<std::uint64_t> numbers)
+bool parseIntegers(std::string_view text, std::span<std::uint64_t> numbers)
 {
     const char *next = text.data();
     const char *end = text.data() + text.size();
--- a/libs/control/src/control_names.h
+++ b/libs/control/src/control_names.h
@@ -8,21 +8,21 @@
 
 namespace trefoil {
 
-/// Topics of the rumors that control nodes spread.
+/// Gossip topics of the rumors that control nodes publish.
 namespace topics {
 inline constexpr const char *config = "config";
 inline constexpr const char *lease = "lease";
 inline constexpr const char *rollout = "rollout";
 inline constexpr const char *crash = "crash";
 inline constexpr const char *evidence = "evidence";
-inline constexpr const char *inForce = "inforce";
+inline constexpr const char *activeVersions = "inforce";
 } // namespace topics
 
-/// Returns the keys of all rights: limit shards and rollouts. Thread-safe.
-std::vector<std::string> allRights(int limitShards);
+/// Returns the keys of all leases: limit shards and rollouts. Thread-safe.
+std::vector<std::string> allLeaseKeys(int limitShards);
 
-/// Parses whole numbers separated by commas, as many as @p numbers holds. Returns false on anything
-/// else. Thread-safe.
-bool parseNumbers(std::string_view text, std::span<std::uint64_t> numbers);
+/// Parses exactly as many comma-separated unsigned integers as @p numbers holds. Returns false if
+/// @p text has another form. Thread-safe.
+bool parseIntegers(std::string_view text, std::span<std::uint64_t> numbers);
 
 } // namespace trefoil
--- a/libs/control/src/control_node.cpp
+++ b/libs/control/src/control_node.cpp
@@ -8,7 +8,7 @@
 #include <span>
 #include <utility>
 
-#include <control/entry_answer.h>
+#include <control/entry_selection.h>
 #include <core/json.h>
 #include <core/rendezvous.h>
 
@@ -17,29 +17,32 @@
 namespace {
 
 constexpr const char *limitsPrefix = "limits/";
-constexpr const char *rolloutRightsPrefix = "rollouts/";
+constexpr const char *rolloutLeasePrefix = "rollouts/";
 constexpr const char *rolloutStatePrefix = "rollout-state/";
-constexpr const char *statusName = "status/fleet";
+constexpr const char *statusObjectName = "status/fleet";
 
-/// An instance without word from the platform for so long needs a majority of its peers.
-constexpr duration platformSilence = std::chrono::seconds(15);
+/// An instance that got no answer from the platform for this long must reach a majority of its
+/// peers to count as attached.
+constexpr duration platformSilenceTimeout = std::chrono::seconds(15);
 
-/// Without a peer's answer or the platform's for so long, withdrawn keys may go unnoticed.
-constexpr duration isolation = std::chrono::seconds(4);
+/// An instance that got no answer from any peer or the platform for this long may miss that a key
+/// was withdrawn.
+constexpr duration isolationTimeout = std::chrono::seconds(4);
 
-constexpr duration fleetPeriod = std::chrono::milliseconds(100);
+constexpr duration fleetUpdatePeriod = std::chrono::milliseconds(100);
 constexpr duration pollPeriod = std::chrono::seconds(1);
-constexpr duration evidencePeriod = std::chrono::milliseconds(300);
+constexpr duration outcomePublishPeriod = std::chrono::milliseconds(300);
 constexpr duration statusPeriod = std::chrono::seconds(10);
 
-/// Between two tries to get a configuration object.
-constexpr duration fetchRetry = std::chrono::milliseconds(100);
-/// Random peers tried before the one that announced the object, which all would otherwise ask.
-constexpr int randomFetches = 3;
-/// Tries among peers before the platform is asked.
-constexpr int peerFetches = 6;
+/// Delay between two attempts to fetch a configuration object.
+constexpr duration fetchRetryInterval = std::chrono::milliseconds(100);
+/// Random peers asked before the announcing instance, which all instances would otherwise ask at
+/// once.
+constexpr int maxRandomPeerFetches = 3;
+/// Attempts with peers before the platform is asked.
+constexpr int maxPeerFetches = 6;
 
-/// Watches of the configuration held in each zone: two, so that one may fail.
+/// Instances per zone that watch the configuration: two, so that one may fail.
 constexpr std::size_t watchersPerZone = 2;
 
 std::string stripPrefix(const std::string &name, std::string_view prefix)
@@ -58,7 +61,7 @@
     return write_outcome::Refused;
 }
 
-std::string evidenceText(const outcome_counts &counts, std::uint64_t incarnation)
+std::string encodeOutcomes(const outcome_counts &counts, std::uint64_t incarnation)
 {
     return std::to_string(incarnation) + "," + std::to_string(counts.requests) + ","
         + std::to_string(counts.failures) + "," + std::to_string(counts.slow);
@@ -75,30 +78,30 @@
                                   topics::evidence}}),
       m_leases({.self = m_options.self.name,
                 .zone = m_options.self.zone,
-                .keys = allRights(m_options.limitShards)},
+                .keys = allLeaseKeys(m_options.limitShards)},
                now),
       m_limits({.self = m_options.self.name, .shards = m_options.limitShards}, m_leases),
-      m_traffic(m_limits, m_options.self.name, m_options.self.zone, m_options.self.incarnation,
-                m_options.randomSeed + 2),
-      m_rollouts(m_leases),
-      m_link({config_names::prefix, limitsPrefix, rolloutRightsPrefix, rolloutStatePrefix},
-             m_options.randomSeed)
+      m_requestCoordinator(m_limits, m_options.self.name, m_options.self.zone,
+                           m_options.self.incarnation, m_options.randomSeed + 2),
+      m_rolloutCoordinator(m_leases),
+      m_platformReads({config_names::prefix, limitsPrefix, rolloutLeasePrefix, rolloutStatePrefix},
+                      m_options.randomSeed)
 {
     m_snapshot.limitShards = m_options.limitShards;
-    m_inForce = m_configuration.view();
+    m_activeConfiguration = m_configuration.snapshot();
 }
 
-void control_node::sendPeer(std::string to, peer_request request, peer_purpose purpose)
+void control_node::sendPeer(std::string to, peer_request request, peer_call_context context)
 {
     const std::uint64_t id = m_nextId++;
-    m_peerCalls[id] = std::move(purpose);
+    m_peerCalls[id] = std::move(context);
     m_actions.push_back(peer_send {.id = id, .to = std::move(to), .request = std::move(request)});
 }
 
-void control_node::callPlatform(platform_request request, platform_purpose purpose)
+void control_node::callPlatform(platform_request request, platform_call_context context)
 {
     const std::uint64_t id = m_nextId++;
-    m_platformCalls[id] = std::move(purpose);
+    m_platformCalls[id] = std::move(context);
     m_actions.push_back(platform_call {.id = id, .request = std::move(request)});
 }
 
@@ -112,15 +115,15 @@
 {
     m_wallMilliseconds = std::max(m_wallMilliseconds, wallMilliseconds);
     tickMembership(now);
-    tickLink(now);
+    tickPlatformReads(now);
     tickLeases(now);
     tickLimits(now);
     tickFetches(now);
     tickPolls(now);
     tickRollouts(now);
-    tickEvidence(now);
+    publishOutcomes(now);
     tickStatus(now);
-    flushTraffic(now);
+    flushRequestResults(now);
     if (m_snapshotDirty)
         publishSnapshot();
 }
@@ -132,18 +135,18 @@
             return std::forward<decltype(request)>(request);
         };
         sendPeer(std::move(call.to), std::visit(toPeer, std::move(call.request)),
-                 for_gossip {.id = call.id});
+                 gossip_context {.id = call.id});
     }
     for (const std::pair<std::uint64_t, bool> &relayed : m_members.takeRelayed())
         m_actions.push_back(peer_reply {.token = relayed.first,
                                         .answer = gossip_relayed {.reached = relayed.second}});
     for (const rumor &item : m_members.takeNews())
-        onNews(now, item);
-    if (now < m_nextFleet)
+        onRumor(now, item);
+    if (now < m_nextFleetUpdate)
         return;
-    m_nextFleet = now + fleetPeriod;
-    updateAttachment(now);
-    lease_fleet fleet {.usable = {}, .known = m_listed, .attached = m_snapshot.attached};
+    m_nextFleetUpdate = now + fleetUpdatePeriod;
+    updateConnectivity(now);
+    lease_fleet fleet {.usable = {}, .known = m_listedInstances, .attached = m_snapshot.attached};
     const std::vector<member> members = m_members.members();
     for (const member &each : members) {
         if (each.state == member_state::Alive && !each.info.leaving)
@@ -158,11 +161,11 @@
     }
 }
 
-bool control_node::reachesMajority() const
+bool control_node::seesMajority() const
 {
     const std::vector<member> members = m_members.members();
-    std::set<std::string> fleet(m_listed.begin(), m_listed.end());
-    if (m_listed.empty()) {
+    std::set<std::string> fleet(m_listedInstances.begin(), m_listedInstances.end());
+    if (m_listedInstances.empty()) {
         for (const member &each : members)
             fleet.insert(each.info.name);
     }
@@ -175,33 +178,35 @@
     return reached * 2 > fleet.size();
 }
 
-void control_node::updateAttachment(timestamp now)
+void control_node::updateConnectivity(timestamp now)
 {
-    const bool alone = m_members.members().size() <= 1;
-    const bool hearsPeers = alone || (m_peerAnswerAt && now - *m_peerAnswerAt <= isolation);
-    const bool attached = m_link.heardWithin(now, isolation)
-        || (hearsPeers && (reachesMajority() || m_link.heardWithin(now, platformSilence)));
+    const bool isAlone = m_members.members().size() <= 1;
+    const bool hearsPeers =
+        isAlone || (m_lastPeerAnswer && now - *m_lastPeerAnswer <= isolationTimeout);
+    const bool attached = m_platformReads.succeededWithin(now, isolationTimeout)
+        || (hearsPeers
+            && (seesMajority() || m_platformReads.succeededWithin(now, platformSilenceTimeout)));
     if (attached != m_snapshot.attached) {
         m_snapshot.attached = attached;
         m_snapshotDirty = true;
     }
 }
 
-void control_node::tickLink(timestamp now)
+void control_node::tickPlatformReads(timestamp now)
 {
-    for (const platform_link::due_read &due : m_link.tick(now, m_isWatcher)) {
-        const for_link purpose {.kind = due.kind, .prefix = due.prefix};
+    for (const platform_read_scheduler::due_read &due : m_platformReads.tick(now, m_isWatcher)) {
+        const scheduled_read_context context {.kind = due.kind, .prefix = due.prefix};
         switch (due.kind) {
-        case platform_link::read::Objects:
-            callPlatform(platform_list {.prefix = due.prefix}, purpose);
+        case platform_read_scheduler::read_kind::Objects:
+            callPlatform(platform_list {.prefix = due.prefix}, context);
             break;
-        case platform_link::read::Watch:
+        case platform_read_scheduler::read_kind::Watch:
             callPlatform(
-                platform_watch {.prefix = due.prefix, .from = due.from, .patience = due.patience},
-                purpose);
+                platform_watch {.prefix = due.prefix, .from = due.from, .maxWait = due.maxWait},
+                context);
             break;
-        case platform_link::read::Instances:
-            callPlatform(platform_instances {}, purpose);
+        case platform_read_scheduler::read_kind::Instances:
+            callPlatform(platform_list_instances {}, context);
             break;
         }
     }
@@ -215,17 +220,18 @@
             if (address.empty())
                 m_leases.onFailure(now, call->id, false);
             else
-                sendPeer(address, std::move(call->ask), for_lease {.id = call->id});
+                sendPeer(address, std::move(call->ask), lease_context {.id = call->id});
         } else if (record_write *write = std::get_if<record_write>(&action)) {
             callPlatform(platform_put {.name = write->key,
                                        .value = toText(write->record),
                                        .expected = write->expected},
-                         for_lease_write {.key = write->key});
+                         lease_write_context {.key = write->key});
         } else {
             const std::string &key = std::get<record_read>(action).key;
-            // The first reads come as lists, one call for all rights.
-            if (m_link.hasLoaded())
-                callPlatform(platform_get {.name = key}, for_lease_read {.key = key});
+            // Until the initial lists are loaded, they serve these reads with one call for all
+            // leases.
+            if (m_platformReads.hasLoadedAll())
+                callPlatform(platform_get {.name = key}, lease_read_context {.key = key});
         }
     }
     flushLeaseEvents(now);
@@ -255,20 +261,20 @@
         if (address.empty())
             m_limits.onFailure(now, call.id);
         else
-            sendPeer(address, std::move(call.ask), for_grant {.id = call.id});
+            sendPeer(address, std::move(call.ask), grant_context {.id = call.id});
     }
-    m_traffic.serveAdmissions(now);
+    m_requestCoordinator.processAdmissions(now);
 }
 
 void control_node::tickFetches(timestamp now)
 {
     for (auto it = m_fetches.begin(); it != m_fetches.end();) {
         pending_fetch &fetch = it->second;
-        if (m_configuration.isSettled(it->first, fetch.version)) {
+        if (m_configuration.isProcessed(it->first, fetch.version)) {
             it = m_fetches.erase(it);
             continue;
         }
-        if (fetch.open || now < fetch.nextTry) {
+        if (fetch.inFlight || now < fetch.nextAttempt) {
             ++it;
             continue;
         }
@@ -278,18 +284,18 @@
                 peers.push_back(each.info.peers);
         }
         const std::string origin = peerAddress(fetch.origin);
-        ++fetch.tries;
-        fetch.open = true;
-        const bool askPlatform = peers.empty() || fetch.tries > peerFetches;
+        ++fetch.attempts;
+        fetch.inFlight = true;
+        const bool askPlatform = peers.empty() || fetch.attempts > maxPeerFetches;
         if (askPlatform) {
-            fetch.tries = 0;
-            callPlatform(platform_get {.name = it->first}, for_config {});
-            fetch.open = false;
-            fetch.nextTry = now + std::chrono::seconds(1);
+            fetch.attempts = 0;
+            callPlatform(platform_get {.name = it->first}, object_read_context {});
+            fetch.inFlight = false;
+            fetch.nextAttempt = now + std::chrono::seconds(1);
         } else {
-            const bool askOrigin = fetch.tries > randomFetches && !origin.empty();
+            const bool askOrigin = fetch.attempts > maxRandomPeerFetches && !origin.empty();
             const std::string to = askOrigin ? origin : peers[m_random() % peers.size()];
-            sendPeer(to, config_fetch {.name = it->first}, for_fetch {.name = it->first});
+            sendPeer(to, config_fetch {.name = it->first}, fetch_context {.name = it->first});
         }
         ++it;
     }
@@ -297,14 +303,14 @@
 
 void control_node::tickPolls(timestamp now)
 {
-    for (const pool &table : m_inForce->pools.pools) {
+    for (const pool &table : m_activeConfiguration->pools.pools) {
         if (table.kind != pool_kind::Engine)
             continue;
         for (const backend_server &each : table.servers) {
-            if (m_openPolls.contains(each.name) || now < m_nextPoll[each.name])
+            if (m_pollsInFlight.contains(each.name) || now < m_nextPoll[each.name])
                 continue;
             m_nextPoll[each.name] = now + pollPeriod;
-            m_openPolls.insert(each.name);
+            m_pollsInFlight.insert(each.name);
             m_actions.push_back(server_poll {.server = each.name,
                                              .address = each.address,
                                              .credential = table.credential,
@@ -315,29 +321,30 @@
 
 void control_node::tickRollouts(timestamp now)
 {
-    m_rollouts.tick(now, static_cast<std::int64_t>(m_wallMilliseconds / 1000), m_traffic);
-    for (const rollout_write &write : m_rollouts.takeWrites())
+    m_rolloutCoordinator.tick(now, static_cast<std::int64_t>(m_wallMilliseconds / 1000),
+                              m_requestCoordinator);
+    for (const rollout_write &write : m_rolloutCoordinator.takeWrites())
         callPlatform(platform_put {.name = rolloutStatePrefix + write.pool,
                                    .value = toText(write.record),
                                    .expected = write.expected},
-                     for_rollout {.pool = write.pool});
-    for (server_order &order : m_rollouts.takeOrders()) {
+                     rollout_write_context {.pool = write.pool});
+    for (server_order &order : m_rolloutCoordinator.takeOrders()) {
         const std::uint64_t id = m_nextId++;
-        m_orders[id] = order;
+        m_pendingOrders[id] = order;
         m_actions.push_back(server_order_call {.id = id, .order = std::move(order)});
     }
 }
 
-void control_node::tickEvidence(timestamp now)
+void control_node::publishOutcomes(timestamp now)
 {
-    if (now < m_nextEvidence)
+    if (now < m_nextOutcomePublish)
         return;
-    m_nextEvidence = now + evidencePeriod;
-    for (const std::pair<const traffic_desk::evidence_key, outcome_counts> &each :
-         m_traffic.ownOutcomes()) {
-        // Only a move needs the others' evidence.
-        const pool *table = m_inForce->pools.poolNamed(each.first.pool);
-        outcome_counts &published = m_publishedEvidence[each.first];
+    m_nextOutcomePublish = now + outcomePublishPeriod;
+    for (const std::pair<const request_coordinator::outcome_key, outcome_counts> &each :
+         m_requestCoordinator.localOutcomes()) {
+        // Other instances need these outcomes only to judge a rollout.
+        const pool *table = m_activeConfiguration->pools.poolNamed(each.first.pool);
+        outcome_counts &published = m_publishedOutcomes[each.first];
         if (!table || !table->rollout || published == each.second)
             continue;
         published = each.second;
@@ -345,54 +352,55 @@
                            .key = each.first.pool + "|" + each.first.version + "|"
                                + each.first.route + "|" + m_options.self.name,
                            .version = nextRumorVersion(),
-                           .payload = evidenceText(each.second, m_members.self().incarnation)});
+                           .payload = encodeOutcomes(each.second, m_members.self().incarnation)});
     }
 }
 
 void control_node::tickStatus(timestamp now)
 {
-    if (now < m_nextStatus || m_statusOpen || !m_link.hasLoaded())
+    if (now < m_nextStatus || m_statusCallInFlight || !m_platformReads.hasLoadedAll())
         return;
     m_nextStatus = now + statusPeriod;
-    if (!isFirstFor("status") || m_members.self().leaving)
+    if (!isResponsibleFor("status") || m_members.self().leaving)
         return;
-    m_statusOpen = true;
-    if (!m_statusKnown) {
-        callPlatform(platform_get {.name = statusName}, for_status {.isRead = true});
+    m_statusCallInFlight = true;
+    if (!m_statusVersionKnown) {
+        callPlatform(platform_get {.name = statusObjectName}, status_context {.isRead = true});
         return;
     }
     Json::Value report = status(now);
-    // What concerns only the instance that happens to write this stays out.
-    for (const char *own : {"instance", "attached", "rights_held"})
-        report.removeMember(own);
+    // The stored report describes the fleet, so fields about the writing instance are removed.
+    for (const char *field : {"instance", "attached", "rights_held"})
+        report.removeMember(field);
     const std::string text = writeJson(report);
-    if (text == m_statusWritten) {
-        m_statusOpen = false;
+    if (text == m_lastStatusText) {
+        m_statusCallInFlight = false;
         return;
     }
-    m_statusWritten = text;
-    callPlatform(platform_put {.name = statusName, .value = text, .expected = m_statusVersion},
-                 for_status {});
+    m_lastStatusText = text;
+    callPlatform(
+        platform_put {.name = statusObjectName, .value = text, .expected = m_statusVersion},
+        status_context {});
 }
 
-void control_node::flushTraffic(timestamp now)
+void control_node::flushRequestResults(timestamp now)
 {
-    m_traffic.serveAdmissions(now);
-    for (const claim_call &call : m_traffic.takeClaimCalls()) {
-        const for_claim purpose {.kind = call.kind, .id = call.id};
+    m_requestCoordinator.processAdmissions(now);
+    for (const claim_call &call : m_requestCoordinator.takeClaimCalls()) {
+        const claim_context context {.kind = call.kind, .id = call.id};
         if (call.kind == claim_call::operation::Read)
-            callPlatform(platform_get {.name = call.name}, purpose);
+            callPlatform(platform_get {.name = call.name}, context);
         else
             callPlatform(
                 platform_put {.name = call.name, .value = call.text, .expected = call.expected},
-                purpose);
+                context);
     }
-    for (const crash_notice &notice : m_traffic.takeCrashes())
+    for (const crash_notice &notice : m_requestCoordinator.takeCrashNotices())
         m_members.publish({.topic = topics::crash,
                            .key = notice.event,
                            .version = 1,
                            .payload = toHex(notice.body)});
-    for (traffic_decision &decision : m_traffic.takeDecisions())
+    for (request_decision &decision : m_requestCoordinator.takeDecisions())
         m_actions.push_back(std::move(decision));
 }
 
@@ -416,7 +424,7 @@
         inner = std::get<gossip_sync>(request);
     const std::optional<gossip_answer> answer = m_members.onRequest(now, inner, token);
     for (const rumor &item : m_members.takeNews())
-        onNews(now, item);
+        onRumor(now, item);
     if (!answer)
         return std::nullopt;
     if (const gossip_ack *ack = std::get_if<gossip_ack>(&*answer))
@@ -429,31 +437,31 @@
     const auto found = m_peerCalls.find(id);
     if (found == m_peerCalls.end())
         return;
-    const peer_purpose purpose = std::move(found->second);
+    const peer_call_context context = std::move(found->second);
     m_peerCalls.erase(found);
-    m_peerAnswerAt = now;
-    if (const for_gossip *gossip = std::get_if<for_gossip>(&purpose)) {
+    m_lastPeerAnswer = now;
+    if (const gossip_context *gossip = std::get_if<gossip_context>(&context)) {
         if (const gossip_ack *ack = std::get_if<gossip_ack>(&answer))
             m_members.onAnswer(now, gossip->id, *ack);
         else if (const gossip_relayed *relayed = std::get_if<gossip_relayed>(&answer))
             m_members.onAnswer(now, gossip->id, *relayed);
         for (const rumor &item : m_members.takeNews())
-            onNews(now, item);
-    } else if (const for_lease *lease = std::get_if<for_lease>(&purpose)) {
+            onRumor(now, item);
+    } else if (const lease_context *lease = std::get_if<lease_context>(&context)) {
         if (const confirm_answer *confirmed = std::get_if<confirm_answer>(&answer))
             m_leases.onAnswer(now, lease->id, *confirmed);
-    } else if (const for_grant *grant = std::get_if<for_grant>(&purpose)) {
+    } else if (const grant_context *grant = std::get_if<grant_context>(&context)) {
         if (const grant_answer *granted = std::get_if<grant_answer>(&answer))
             m_limits.onAnswer(now, grant->id, *granted);
-        flushTraffic(now);
-    } else if (const for_fetch *fetch = std::get_if<for_fetch>(&purpose)) {
+        flushRequestResults(now);
+    } else if (const fetch_context *fetch = std::get_if<fetch_context>(&context)) {
         const auto pending = m_fetches.find(fetch->name);
         if (pending != m_fetches.end()) {
-            pending->second.open = false;
-            pending->second.nextTry = now + fetchRetry;
+            pending->second.inFlight = false;
+            pending->second.nextAttempt = now + fetchRetryInterval;
         }
         if (const object *item = std::get_if<object>(&answer))
-            takeObject(now, *item);
+            applyObject(now, *item);
     }
 }
 
@@ -462,48 +470,48 @@
     const auto found = m_peerCalls.find(id);
     if (found == m_peerCalls.end())
         return;
-    const peer_purpose purpose = std::move(found->second);
+    const peer_call_context context = std::move(found->second);
     m_peerCalls.erase(found);
-    if (const for_gossip *gossip = std::get_if<for_gossip>(&purpose)) {
+    if (const gossip_context *gossip = std::get_if<gossip_context>(&context)) {
         m_members.onFailure(now, gossip->id);
-    } else if (const for_lease *lease = std::get_if<for_lease>(&purpose)) {
+    } else if (const lease_context *lease = std::get_if<lease_context>(&context)) {
         m_leases.onFailure(now, lease->id, connectionRefused);
-    } else if (const for_grant *grant = std::get_if<for_grant>(&purpose)) {
+    } else if (const grant_context *grant = std::get_if<grant_context>(&context)) {
         m_limits.onFailure(now, grant->id);
-    } else if (const for_fetch *fetch = std::get_if<for_fetch>(&purpose)) {
+    } else if (const fetch_context *fetch = std::get_if<fetch_context>(&context)) {
         const auto pending = m_fetches.find(fetch->name);
         if (pending != m_fetches.end()) {
-            pending->second.open = false;
-            pending->second.nextTry = now + fetchRetry;
+            pending->second.inFlight = false;
+            pending->second.nextAttempt = now + fetchRetryInterval;
         }
     }
 }
 
-void control_node::onNews(timestamp now, const rumor &item)
+void control_node::onRumor(timestamp now, const rumor &item)
 {
     if (item.topic == topics::config) {
         pending_fetch &fetch = m_fetches[item.key];
         if (item.version > fetch.version)
-            fetch = {.version = item.version, .origin = item.payload, .nextTry = now};
+            fetch = {.version = item.version, .origin = item.payload, .nextAttempt = now};
     } else if (item.topic == topics::lease) {
         m_leases.onRecord(now, item.key, item.version, leaseRecordFromText(item.payload));
         flushLeaseEvents(now);
     } else if (item.topic == topics::rollout) {
         const std::optional<rollout_record> record = rolloutRecordFromText(item.payload);
-        if (record && m_rollouts.onRecord(item.key, item.version, *record))
-            m_traffic.setRollout(item.key, *record);
+        if (record && m_rolloutCoordinator.onRecord(item.key, item.version, *record))
+            m_requestCoordinator.setRollout(item.key, *record);
     } else if (item.topic == topics::crash) {
         digest128 body;
         if (fromHex(item.payload, body))
-            m_traffic.noteCrash(now, {.body = body, .event = item.key});
+            m_requestCoordinator.onRemoteCrash(now, {.body = body, .event = item.key});
     } else if (item.topic == topics::evidence) {
-        onEvidenceRumor(item);
+        onOutcomesRumor(item);
     }
 }
 
-void control_node::onEvidenceRumor(const rumor &item)
+void control_node::onOutcomesRumor(const rumor &item)
 {
-    // The key is pool|version|route|instance, the payload incarnation,requests,failures,slow.
+    // Key: pool|version|route|instance. Payload: incarnation,requests,failures,slow.
     std::array<std::string, 4> parts;
     std::size_t index = 0;
     for (const char c : item.key) {
@@ -513,31 +521,33 @@
             parts[index] += c;
     }
     std::array<std::uint64_t, 4> numbers {};
-    if (index != 3 || !parseNumbers(item.payload, numbers))
+    if (index != 3 || !parseIntegers(item.payload, numbers))
         return;
-    // Counts restart with the instance, so each incarnation has its own last value.
-    outcome_counts &seen = m_seenEvidence[item.key + "|" + std::to_string(numbers[0])];
-    const outcome_counts now {.requests = numbers[1], .failures = numbers[2], .slow = numbers[3]};
-    if (now.requests < seen.requests)
+    // Counts restart at zero with the instance, so the last value is kept per incarnation.
+    outcome_counts &seen = m_seenOutcomes[item.key + "|" + std::to_string(numbers[0])];
+    const outcome_counts current {
+        .requests = numbers[1], .failures = numbers[2], .slow = numbers[3]};
+    if (current.requests < seen.requests)
         return;
-    m_traffic.addEvidence(parts[0], parts[1], parts[2],
-                          {.requests = now.requests - seen.requests,
-                           .failures = now.failures - std::min(seen.failures, now.failures),
-                           .slow = now.slow - std::min(seen.slow, now.slow)});
-    seen = now;
+    m_requestCoordinator.addRemoteOutcomes(
+        parts[0], parts[1], parts[2],
+        {.requests = current.requests - seen.requests,
+         .failures = current.failures - std::min(seen.failures, current.failures),
+         .slow = current.slow - std::min(seen.slow, current.slow)});
+    seen = current;
 }
 
-void control_node::takeObjects(timestamp now, const std::vector<object> &items)
+void control_node::applyObjects(timestamp now, const std::vector<object> &items)
 {
     for (const object &item : items)
-        takeObject(now, item);
+        applyObject(now, item);
 }
 
-void control_node::takeObject(timestamp now, const object &item)
+void control_node::applyObject(timestamp now, const object &item)
 {
     if (item.version == 0)
         return;
-    if (item.name.starts_with(limitsPrefix) || item.name.starts_with(rolloutRightsPrefix)) {
+    if (item.name.starts_with(limitsPrefix) || item.name.starts_with(rolloutLeasePrefix)) {
         m_leases.onRecord(now, item.name, item.version, leaseRecordFromText(item.value));
         flushLeaseEvents(now);
         return;
@@ -545,42 +555,42 @@
     if (item.name.starts_with(rolloutStatePrefix)) {
         const std::string pool = stripPrefix(item.name, rolloutStatePrefix);
         const std::optional<rollout_record> record = rolloutRecordFromText(item.value);
-        if (record && m_rollouts.onRecord(pool, item.version, *record))
-            m_traffic.setRollout(pool, *record);
+        if (record && m_rolloutCoordinator.onRecord(pool, item.version, *record))
+            m_requestCoordinator.setRollout(pool, *record);
         return;
     }
     if (!item.name.starts_with(config_names::prefix)
-        || m_configuration.isSettled(item.name, item.version))
+        || m_configuration.isProcessed(item.name, item.version))
         return;
-    // Only what is sound is announced: peers would get nothing from a faulty table.
-    if (m_configuration.take(item))
+    // Only valid objects are announced: peers can't use a rejected one.
+    if (m_configuration.apply(item))
         m_members.publish({.topic = topics::config,
                            .key = item.name,
                            .version = item.version,
                            .payload = m_options.self.name});
-    m_inForce = m_configuration.view();
-    m_snapshot.configuration = m_inForce;
+    m_activeConfiguration = m_configuration.snapshot();
+    m_snapshot.configuration = m_activeConfiguration;
     m_snapshot.ready = m_configuration.isComplete();
     m_snapshotDirty = true;
-    m_traffic.setConfiguration(now, m_inForce);
-    m_rollouts.setConfiguration(m_inForce);
-    publishInForce();
+    m_requestCoordinator.setConfiguration(now, m_activeConfiguration);
+    m_rolloutCoordinator.setConfiguration(m_activeConfiguration);
+    publishActiveVersions();
 }
 
-void control_node::publishInForce()
+void control_node::publishActiveVersions()
 {
-    m_members.publish({.topic = topics::inForce,
+    m_members.publish({.topic = topics::activeVersions,
                        .key = m_options.self.name,
                        .version = nextRumorVersion(),
-                       .payload = std::to_string(m_inForce->routesVersion) + ","
-                           + std::to_string(m_inForce->poolsVersion) + ","
-                           + std::to_string(m_inForce->keysVersion)});
+                       .payload = std::to_string(m_activeConfiguration->routesVersion) + ","
+                           + std::to_string(m_activeConfiguration->poolsVersion) + ","
+                           + std::to_string(m_activeConfiguration->keysVersion)});
 }
 
 std::uint64_t control_node::nextRumorVersion()
 {
-    // Above everything that an earlier incarnation published, as long as the wall clock did not go
-    // back further than the instance was down.
+    // Exceeds every version that an earlier incarnation published, unless the wall clock was set
+    // back by more than the downtime of the instance.
     m_rumorVersion = std::max(m_rumorVersion + 1, m_wallMilliseconds);
     return m_rumorVersion;
 }
@@ -590,43 +600,43 @@
     const auto found = m_platformCalls.find(id);
     if (found == m_platformCalls.end())
         return;
-    const platform_purpose purpose = std::move(found->second);
+    const platform_call_context context = std::move(found->second);
     m_platformCalls.erase(found);
     const bool success = std::visit([](const auto &each) { return each.has_value(); }, answer);
     if (success)
-        m_link.noteContact(now);
-    if (const for_link *link = std::get_if<for_link>(&purpose)) {
-        onLinkAnswer(now, *link, answer);
+        m_platformReads.recordSuccess(now);
+    if (const scheduled_read_context *scheduled = std::get_if<scheduled_read_context>(&context)) {
+        onScheduledRead(now, *scheduled, answer);
         return;
     }
     if (const result<std::uint64_t> *written = std::get_if<result<std::uint64_t>>(&answer)) {
-        onWriteAnswer(now, purpose, *written);
+        onWriteAnswer(now, context, *written);
         return;
     }
     const result<object> *read = std::get_if<result<object>>(&answer);
     if (!read)
         return;
     const bool isAbsent = !*read && read->error().code == platform_errors::notFound;
-    if (const for_lease_read *lease = std::get_if<for_lease_read>(&purpose)) {
+    if (const lease_read_context *lease = std::get_if<lease_read_context>(&context)) {
         if (*read)
-            takeObject(now, **read);
+            applyObject(now, **read);
         else if (isAbsent)
             m_leases.onRecord(now, lease->key, 0, std::nullopt);
-    } else if (const for_claim *claimed = std::get_if<for_claim>(&purpose)) {
-        m_traffic.onClaimRead(now, claimed->id, *read);
-        flushTraffic(now);
-    } else if (std::holds_alternative<for_status>(purpose)) {
-        m_statusOpen = false;
-        m_statusKnown = read->has_value() || isAbsent;
+    } else if (const claim_context *claimed = std::get_if<claim_context>(&context)) {
+        m_requestCoordinator.onClaimRead(now, claimed->id, *read);
+        flushRequestResults(now);
+    } else if (std::holds_alternative<status_context>(context)) {
+        m_statusCallInFlight = false;
+        m_statusVersionKnown = read->has_value() || isAbsent;
         m_statusVersion = *read ? (*read)->version : 0;
         m_nextStatus = now;
     } else if (*read) {
-        takeObject(now, **read);
+        applyObject(now, **read);
     }
 }
 
-void control_node::onLinkAnswer(timestamp now, const for_link &purpose,
-                                const platform_answer &answer)
+void control_node::onScheduledRead(timestamp now, const scheduled_read_context &context,
+                                   const platform_answer &answer)
 {
     bool success = false;
     std::uint64_t upTo = 0;
@@ -634,7 +644,7 @@
             std::get_if<result<std::vector<object>>>(&answer)) {
         success = listed->has_value();
         if (success) {
-            takeObjects(now, **listed);
+            applyObjects(now, **listed);
             for (const object &item : **listed)
                 upTo = std::max(upTo, item.version);
         }
@@ -642,90 +652,92 @@
                    std::get_if<result<object_changes>>(&answer)) {
         success = watched->has_value();
         if (success) {
-            takeObjects(now, (*watched)->changed);
+            applyObjects(now, (*watched)->changed);
             upTo = (*watched)->upTo;
         }
     } else if (const result<std::vector<listed_instance>> *instances =
                    std::get_if<result<std::vector<listed_instance>>>(&answer)) {
         success = instances->has_value();
         if (success) {
-            m_listed.clear();
+            m_listedInstances.clear();
             for (const listed_instance &each : **instances)
-                m_listed.push_back(each.name);
+                m_listedInstances.push_back(each.name);
         }
     }
-    m_link.onDone(now, purpose.kind, purpose.prefix, success, upTo);
-    if (!success || purpose.kind != platform_link::read::Objects)
+    m_platformReads.onDone(now, context.kind, context.prefix, success, upTo);
+    if (!success || context.kind != platform_read_scheduler::read_kind::Objects)
         return;
-    // A right that the list does not hold has no record yet.
-    if (purpose.prefix == limitsPrefix || purpose.prefix == rolloutRightsPrefix) {
-        for (const std::string &key : allRights(m_options.limitShards)) {
-            if (key.starts_with(purpose.prefix) && !m_leases.record(key))
+    // A lease that is missing in the list has no record yet.
+    if (context.prefix == limitsPrefix || context.prefix == rolloutLeasePrefix) {
+        for (const std::string &key : allLeaseKeys(m_options.limitShards)) {
+            if (key.starts_with(context.prefix) && !m_leases.record(key))
                 m_leases.onRecord(now, key, 0, std::nullopt);
         }
     }
-    if (purpose.prefix == rolloutStatePrefix)
-        m_rollouts.onRecordsLoaded();
+    if (context.prefix == rolloutStatePrefix)
+        m_rolloutCoordinator.onRecordsLoaded();
 }
 
-void control_node::onWriteAnswer(timestamp now, const platform_purpose &purpose,
+void control_node::onWriteAnswer(timestamp now, const platform_call_context &context,
                                  const result<std::uint64_t> &answer)
 {
     const std::uint64_t version = answer.value_or(0);
     const write_outcome outcome = outcomeOf(answer);
-    if (const for_lease_write *lease = std::get_if<for_lease_write>(&purpose)) {
+    if (const lease_write_context *lease = std::get_if<lease_write_context>(&context)) {
         m_leases.onWritten(now, lease->key, outcome, version);
         flushLeaseEvents(now);
-    } else if (const for_claim *claimed = std::get_if<for_claim>(&purpose)) {
+    } else if (const claim_context *claimed = std::get_if<claim_context>(&context)) {
         if (claimed->kind == claim_call::operation::Create)
-            m_traffic.onClaimCreated(now, claimed->id, answer);
-        flushTraffic(now);
-    } else if (const for_rollout *rollout = std::get_if<for_rollout>(&purpose)) {
-        m_rollouts.onWritten(rollout->pool, outcome, version);
+            m_requestCoordinator.onClaimCreated(now, claimed->id, answer);
+        flushRequestResults(now);
+    } else if (const rollout_write_context *rollout =
+                   std::get_if<rollout_write_context>(&context)) {
+        m_rolloutCoordinator.onWritten(rollout->pool, outcome, version);
         if (outcome == write_outcome::Done) {
-            const rollout_record &record = m_rollouts.records().at(rollout->pool).second;
-            m_traffic.setRollout(rollout->pool, record);
+            const rollout_record &record = m_rolloutCoordinator.records().at(rollout->pool).second;
+            m_requestCoordinator.setRollout(rollout->pool, record);
             m_members.publish({.topic = topics::rollout,
                                .key = rollout->pool,
                                .version = version,
                                .payload = toText(record)});
         } else if (outcome != write_outcome::Refused) {
-            callPlatform(platform_get {.name = rolloutStatePrefix + rollout->pool}, for_config {});
+            callPlatform(platform_get {.name = rolloutStatePrefix + rollout->pool},
+                         object_read_context {});
         }
-    } else if (std::holds_alternative<for_status>(purpose)) {
-        m_statusOpen = false;
+    } else if (std::holds_alternative<status_context>(context)) {
+        m_statusCallInFlight = false;
         m_statusVersion = version;
-        m_statusKnown = outcome == write_outcome::Done;
-        if (!m_statusKnown)
-            m_statusWritten.clear();
+        m_statusVersionKnown = outcome == write_outcome::Done;
+        if (!m_statusVersionKnown)
+            m_lastStatusText.clear();
     }
 }
 
 void control_node::onServerState(timestamp now, const std::string &server,
                                  const std::optional<server_state_report> &report)
 {
-    m_openPolls.erase(server);
+    m_pollsInFlight.erase(server);
     if (!report) {
-        m_rollouts.noteServer(server, "", false);
+        m_rolloutCoordinator.onServerState(server, "", false);
         return;
     }
-    m_traffic.noteServerVersion(now, server, report->version);
-    m_rollouts.noteServer(server, report->version, true);
-    m_traffic.noteLoad(now, server, report->load);
+    m_requestCoordinator.setServerVersion(now, server, report->version);
+    m_rolloutCoordinator.onServerState(server, report->version, true);
+    m_requestCoordinator.setServerLoad(now, server, report->load);
     for (const cache_event &event : report->events)
-        m_traffic.noteEvents(now, server, report->load.incarnation, event.sequence, event.stored,
-                             event.evicted);
+        m_requestCoordinator.onCacheEvents(now, server, report->load.incarnation, event.sequence,
+                                           event.stored, event.evicted);
     m_eventSequences[server] = report->nextSequence;
 }
 
 void control_node::onOrderDone(timestamp, std::uint64_t id, bool accepted)
 {
-    const auto found = m_orders.find(id);
-    if (found == m_orders.end())
+    const auto found = m_pendingOrders.find(id);
+    if (found == m_pendingOrders.end())
         return;
     if (!accepted)
-        m_rollouts.onOrderFailed(found->second.pool, found->second.order.worker);
-    m_orders.erase(found);
+        m_rolloutCoordinator.onOrderFailed(found->second.pool, found->second.order.worker);
+    m_pendingOrders.erase(found);
 }
 
 void control_node::leave(timestamp now)
@@ -737,28 +749,28 @@
     flushLeaseEvents(now);
 }
 
-void control_node::begin(timestamp now, traffic_begin request)
+void control_node::begin(timestamp now, incoming_request request)
 {
-    m_traffic.begin(now, std::move(request));
+    m_requestCoordinator.begin(now, std::move(request));
     tickLimits(now);
-    flushTraffic(now);
+    flushRequestResults(now);
 }
 
-void control_node::onFailed(timestamp now, const traffic_failed &report)
+void control_node::onFailed(timestamp now, const attempt_failure_report &report)
 {
-    m_traffic.onFailed(now, report);
-    flushTraffic(now);
+    m_requestCoordinator.onFailed(now, report);
+    flushRequestResults(now);
 }
 
-void control_node::onFirstToken(timestamp now, const traffic_first_token &report)
+void control_node::onFirstToken(timestamp now, const first_token_report &report)
 {
-    m_traffic.onFirstToken(now, report);
+    m_requestCoordinator.onFirstToken(now, report);
 }
 
-void control_node::onEnd(timestamp now, const traffic_end &report)
+void control_node::onEnd(timestamp now, const request_end_report &report)
 {
-    m_traffic.onEnd(now, report);
-    flushTraffic(now);
+    m_requestCoordinator.onEnd(now, report);
+    flushRequestResults(now);
 }
 
 bool control_node::isWatcher() const
@@ -778,14 +790,14 @@
     return false;
 }
 
-bool control_node::isFirstFor(std::string_view duty) const
+bool control_node::isResponsibleFor(std::string_view task) const
 {
     std::vector<std::string> names;
     for (const member &each : m_members.members()) {
         if (each.state == member_state::Alive && !each.info.leaving)
             names.push_back(each.info.name);
     }
-    const std::vector<std::size_t> order = rendezvousOrder(duty, names);
+    const std::vector<std::size_t> order = rendezvousOrder(task, names);
     return !order.empty() && names[order.front()] == m_options.self.name;
 }
 
--- a/libs/control/src/control_status.cpp
+++ b/libs/control/src/control_status.cpp
@@ -9,19 +9,19 @@
 
 namespace {
 
-/// Versions of routes, pools and keys that an instance has in force, in this order.
-using version_triple = std::array<std::uint64_t, 3>;
+/// Active versions of routes, pools and keys on one instance, in this order.
+using config_versions = std::array<std::uint64_t, 3>;
 
 constexpr std::array<const char *, 3> versionNames {"routes", "pools", "keys"};
 constexpr std::array<const char *, 3> stateNames {"alive", "suspect", "dead"};
 
-version_triple versionsOf(const rumor_store &rumors, const std::string &instance)
+config_versions activeVersionsOf(const rumor_store &rumors, const std::string &instance)
 {
-    version_triple held {};
-    const rumor *known = rumors.find(topics::inForce, instance);
-    if (known && !parseNumbers(known->payload, held))
-        held = {};
-    return held;
+    config_versions versions {};
+    const rumor *known = rumors.find(topics::activeVersions, instance);
+    if (known && !parseIntegers(known->payload, versions))
+        versions = {};
+    return versions;
 }
 
 } // namespace
@@ -33,10 +33,10 @@
     report["members"] = reportMembers();
     report["configuration"] = reportVersions();
     report["findings"] = Json::Value(Json::arrayValue);
-    for (const finding &item : m_configuration.refused())
+    for (const finding &item : m_configuration.rejectionFindings())
         report["findings"].append(toString(item));
     report["limit_owners"] = Json::Value(Json::objectValue);
-    for (const team &each : m_inForce->routes.teams) {
+    for (const team &each : m_activeConfiguration->routes.teams) {
         const std::optional<lease_record> record =
             m_leases.record(shardKey(each.name, m_options.limitShards));
         report["limit_owners"][each.name] = record ? record->owner : "";
@@ -44,7 +44,7 @@
     report["rollouts"] = reportRollouts();
     report["attached"] = m_snapshot.attached;
     report["rights_held"] = Json::Value(Json::arrayValue);
-    for (const std::string &key : allRights(m_options.limitShards)) {
+    for (const std::string &key : allLeaseKeys(m_options.limitShards)) {
         if (m_leases.holds(now, key))
             report["rights_held"].append(key);
     }
@@ -61,9 +61,9 @@
         entry["callers"] = each.info.callers;
         entry["state"] =
             each.info.leaving ? "leaving" : stateNames[static_cast<std::size_t>(each.state)];
-        const version_triple held = versionsOf(m_members.rumors(), each.info.name);
-        for (std::size_t i = 0; i < held.size(); ++i)
-            entry[versionNames[i]] = Json::UInt64(held[i]);
+        const config_versions active = activeVersionsOf(m_members.rumors(), each.info.name);
+        for (std::size_t i = 0; i < active.size(); ++i)
+            entry[versionNames[i]] = Json::UInt64(active[i]);
         list.append(std::move(entry));
     }
     return list;
@@ -71,16 +71,17 @@
 
 Json::Value control_node::reportVersions() const
 {
-    const version_triple own {m_inForce->routesVersion, m_inForce->poolsVersion,
-                              m_inForce->keysVersion};
+    const config_versions own {m_activeConfiguration->routesVersion,
+                               m_activeConfiguration->poolsVersion,
+                               m_activeConfiguration->keysVersion};
     Json::Value report(Json::objectValue);
     for (std::size_t i = 0; i < own.size(); ++i) {
         std::uint64_t lowest = own[i];
         std::uint64_t highest = own[i];
-        std::map<std::string, std::uint64_t> held;
+        std::map<std::string, std::uint64_t> versionByInstance;
         for (const member &each : m_members.members()) {
-            const std::uint64_t version = versionsOf(m_members.rumors(), each.info.name)[i];
-            held[each.info.name] = version;
+            const std::uint64_t version = activeVersionsOf(m_members.rumors(), each.info.name)[i];
+            versionByInstance[each.info.name] = version;
             lowest = std::min(lowest, version);
             highest = std::max(highest, version);
         }
@@ -88,7 +89,7 @@
         entry["newest"] = Json::UInt64(highest);
         entry["in_force_everywhere"] = Json::UInt64(lowest);
         entry["lagging"] = Json::Value(Json::arrayValue);
-        for (auto it = held.begin(); it != held.end(); ++it) {
+        for (auto it = versionByInstance.begin(); it != versionByInstance.end(); ++it) {
             if (it->second < highest)
                 entry["lagging"].append(it->first);
         }
@@ -99,7 +100,8 @@
 Json::Value control_node::reportRollouts() const
 {
     Json::Value report(Json::objectValue);
-    for (auto it = m_rollouts.records().begin(); it != m_rollouts.records().end(); ++it) {
+    for (auto it = m_rolloutCoordinator.records().begin();
+         it != m_rolloutCoordinator.records().end(); ++it) {
         const rollout_record &record = it->second.second;
         Json::Value &entry = report[it->first];
         entry["from"] = record.from;
--- a/libs/control/src/peer_codec.cpp
+++ b/libs/control/src/peer_codec.cpp
@@ -16,16 +16,17 @@
 
 namespace {
 
-// Members are short because rumors make up most of the bytes between peers.
-constexpr const char *kindMember = "k";
+// Field names are short because rumors make up most of the traffic between peers.
+constexpr const char *kindField = "k";
 
-/// Values from this size on travel deflated: tables are text of one shape.
-constexpr std::size_t leastDeflated = 1024;
+/// Minimum size in bytes of an object value that is sent deflated. Configuration tables are
+/// repetitive text and compress well.
+constexpr std::size_t minDeflatedSize = 1024;
 
-/// Largest value that is inflated: an object of the platform and some room.
-constexpr std::size_t maxInflated = 2 << 20;
+/// Maximum size in bytes of an inflated value: the object size limit of the platform plus headroom.
+constexpr std::size_t maxInflatedSize = 2 << 20;
 
-std::string deflated(const std::string &text)
+std::string deflateToBase64(const std::string &text)
 {
     std::ostringstream packed;
     {
@@ -38,20 +39,21 @@
     return packed.str();
 }
 
-/// Returns what deflated() was given, or nothing where @p packed is malformed or too large.
-std::optional<std::string> inflated(const std::string &packed)
+/// Reverses deflateToBase64(). Returns nothing if @p packed is malformed or inflates to more than
+/// maxInflatedSize bytes.
+std::optional<std::string> inflateFromBase64(const std::string &packed)
 {
     try {
         std::istringstream input(packed);
         Poco::Base64Decoder decoder(input, Poco::BASE64_URL_ENCODING);
         Poco::InflatingInputStream inflater(decoder, Poco::InflatingStreamBuf::STREAM_ZLIB);
         std::string text;
-        std::array<char, 8192> piece {};
-        while (inflater.good() && text.size() <= maxInflated) {
-            inflater.read(piece.data(), static_cast<std::streamsize>(piece.size()));
-            text.append(piece.data(), static_cast<std::size_t>(inflater.gcount()));
+        std::array<char, 8192> buffer {};
+        while (inflater.good() && text.size() <= maxInflatedSize) {
+            inflater.read(buffer.data(), static_cast<std::streamsize>(buffer.size()));
+            text.append(buffer.data(), static_cast<std::size_t>(inflater.gcount()));
         }
-        if (inflater.bad() || text.size() > maxInflated)
+        if (inflater.bad() || text.size() > maxInflatedSize)
             return std::nullopt;
         return text;
     } catch (const Poco::Exception &) {
@@ -81,7 +83,7 @@
     for (const Json::Value &entry : list) {
         const bool valid = entry.isArray() && entry.size() == 4 && entry[0].isString()
             && entry[1].isString() && entry[2].isUInt64() && entry[3].isString();
-        // A malformed rumor is dropped by itself; the others of the message are still good.
+        // Only the malformed rumor is dropped; the others in the message are kept.
         if (valid)
             rumors.push_back({.topic = entry[0].asString(),
                               .key = entry[1].asString(),
@@ -119,26 +121,26 @@
     return settled;
 }
 
-/// Writes each kind of message; the overload set is what std::visit picks from.
-struct message_writer
+/// Visitor that encodes each kind of message.
+struct message_encoder
 {
     Json::Value operator()(const gossip_ping &ping) const
     {
-        Json::Value message = start("ping");
+        Json::Value message = newMessage("ping");
         message["from"] = ping.from;
         message["r"] = rumorsToJson(ping.rumors);
         return message;
     }
     Json::Value operator()(const gossip_relay &relay) const
     {
-        Json::Value message = start("relay");
+        Json::Value message = newMessage("relay");
         message["from"] = relay.from;
         message["target"] = relay.target;
         return message;
     }
     Json::Value operator()(const gossip_sync &sync) const
     {
-        Json::Value message = start("sync");
+        Json::Value message = newMessage("sync");
         message["from"] = sync.from;
         for (const std::uint64_t hash : sync.hashes)
             message["h"].append(Json::UInt64(hash));
@@ -146,7 +148,7 @@
     }
     Json::Value operator()(const confirm_ask &ask) const
     {
-        Json::Value message = start("confirm");
+        Json::Value message = newMessage("confirm");
         message["from"] = ask.from;
         message["items"] = Json::Value(Json::arrayValue);
         for (const confirm_ask::item &item : ask.items) {
@@ -159,7 +161,7 @@
     }
     Json::Value operator()(const grant_ask &ask) const
     {
-        Json::Value message = start("grant");
+        Json::Value message = newMessage("grant");
         message["from"] = ask.from;
         message["team"] = ask.team;
         message["needed"] = ask.needed;
@@ -171,25 +173,25 @@
     }
     Json::Value operator()(const config_fetch &fetch) const
     {
-        Json::Value message = start("fetch");
+        Json::Value message = newMessage("fetch");
         message["name"] = fetch.name;
         return message;
     }
     Json::Value operator()(const gossip_ack &ack) const
     {
-        Json::Value message = start("ack");
+        Json::Value message = newMessage("ack");
         message["r"] = rumorsToJson(ack.rumors);
         return message;
     }
     Json::Value operator()(const gossip_relayed &relayed) const
     {
-        Json::Value message = start("relayed");
+        Json::Value message = newMessage("relayed");
         message["reached"] = relayed.reached;
         return message;
     }
     Json::Value operator()(const confirm_answer &answer) const
     {
-        Json::Value message = start("confirmed");
+        Json::Value message = newMessage("confirmed");
         message["items"] = Json::Value(Json::arrayValue);
         for (const confirm_answer::item &item : answer.items) {
             Json::Value entry(Json::arrayValue);
@@ -202,7 +204,7 @@
     }
     Json::Value operator()(const grant_answer &answer) const
     {
-        Json::Value message = start("granted");
+        Json::Value message = newMessage("granted");
         message["outcome"] = static_cast<int>(answer.kind);
         message["epoch"] = Json::UInt64(answer.epoch);
         message["grant"] = Json::UInt64(answer.grant);
@@ -213,57 +215,57 @@
     }
     Json::Value operator()(const object &item) const
     {
-        Json::Value message = start("object");
+        Json::Value message = newMessage("object");
         message["object"] = toJson(item);
-        if (item.value.size() >= leastDeflated) {
+        if (item.value.size() >= minDeflatedSize) {
             message["object"]["value"] = "";
-            message["object"]["deflated"] = deflated(item.value);
+            message["object"]["deflated"] = deflateToBase64(item.value);
         }
         return message;
     }
 
 private:
-    static Json::Value start(const char *kind)
+    static Json::Value newMessage(const char *kind)
     {
         Json::Value message(Json::objectValue);
-        message[kindMember] = kind;
+        message[kindField] = kind;
         return message;
     }
 };
 
-tl::unexpected<error> badMessage(const std::string &kind)
+tl::unexpected<error> malformedMessage(const std::string &kind)
 {
     return failure("bad-message", "a peer sent a malformed message of kind \"" + kind + "\"");
 }
 
-result<peer_request> readSync(const Json::Value &message)
+result<peer_request> parseSync(const Json::Value &message)
 {
     gossip_sync sync {.from = textOr(message, "from")};
     const Json::Value &hashes = message["h"];
     if (!hashes.isArray() || hashes.size() != rumorBuckets)
-        return badMessage("sync");
+        return malformedMessage("sync");
     for (Json::ArrayIndex i = 0; i < hashes.size(); ++i) {
         if (!hashes[i].isUInt64())
-            return badMessage("sync");
+            return malformedMessage("sync");
         sync.hashes[i] = hashes[i].asUInt64();
     }
     return sync;
 }
 
-result<peer_request> readConfirm(const Json::Value &message)
+result<peer_request> parseConfirm(const Json::Value &message)
 {
     confirm_ask ask {.from = textOr(message, "from"), .items = {}};
     if (!message["items"].isArray())
-        return badMessage("confirm");
+        return malformedMessage("confirm");
     for (const Json::Value &entry : message["items"]) {
         if (!entry.isArray() || entry.size() != 2 || !entry[0].isString() || !entry[1].isUInt64())
-            return badMessage("confirm");
+            return malformedMessage("confirm");
         ask.items.push_back({.key = entry[0].asString(), .epoch = entry[1].asUInt64()});
     }
     return ask;
 }
 
-result<peer_request> readGrant(const Json::Value &message)
+result<peer_request> parseGrant(const Json::Value &message)
 {
     grant_ask ask {.from = textOr(message, "from"),
                    .team = textOr(message, "team"),
@@ -272,20 +274,20 @@
                    .extra = numberOr(message, "extra"),
                    .settled = settledFromJson(message["settled"])};
     if (ask.team.empty() || ask.needed < 0 || ask.queued < 0 || ask.extra < 0)
-        return badMessage("grant");
+        return malformedMessage("grant");
     return ask;
 }
 
-result<peer_answer> readConfirmed(const Json::Value &message)
+result<peer_answer> parseConfirmed(const Json::Value &message)
 {
     confirm_answer answer;
     if (!message["items"].isArray())
-        return badMessage("confirmed");
+        return malformedMessage("confirmed");
     for (const Json::Value &entry : message["items"]) {
         const bool valid = entry.isArray() && entry.size() == 3 && entry[0].isString()
             && entry[1].isBool() && entry[2].isUInt64();
         if (!valid)
-            return badMessage("confirmed");
+            return malformedMessage("confirmed");
         answer.items.push_back({.key = entry[0].asString(),
                                 .granted = entry[1].asBool(),
                                 .epoch = entry[2].asUInt64()});
@@ -293,11 +295,11 @@
     return answer;
 }
 
-result<peer_answer> readGranted(const Json::Value &message)
+result<peer_answer> parseGranted(const Json::Value &message)
 {
     const std::uint64_t outcome = integerOr(message, "outcome", 99);
     if (outcome > static_cast<std::uint64_t>(grant_answer::outcome::TooLarge))
-        return badMessage("granted");
+        return malformedMessage("granted");
     grant_answer answer;
     answer.kind = static_cast<grant_answer::outcome>(outcome);
     answer.epoch = integerOr(message, "epoch");
@@ -310,54 +312,54 @@
 
 } // namespace
 
-Json::Value toJson(const peer_request &request) { return std::visit(message_writer {}, request); }
+Json::Value toJson(const peer_request &request) { return std::visit(message_encoder {}, request); }
 
-Json::Value toJson(const peer_answer &answer) { return std::visit(message_writer {}, answer); }
+Json::Value toJson(const peer_answer &answer) { return std::visit(message_encoder {}, answer); }
 
 result<peer_request> peerRequestFromJson(const Json::Value &message)
 {
-    const std::string kind = textOr(message, kindMember);
+    const std::string kind = textOr(message, kindField);
     if (kind == "ping")
         return gossip_ping {.from = textOr(message, "from"),
                             .rumors = rumorsFromJson(message["r"])};
     if (kind == "relay")
         return gossip_relay {.from = textOr(message, "from"), .target = textOr(message, "target")};
     if (kind == "sync")
-        return readSync(message);
+        return parseSync(message);
     if (kind == "confirm")
-        return readConfirm(message);
+        return parseConfirm(message);
     if (kind == "grant")
-        return readGrant(message);
+        return parseGrant(message);
     if (kind == "fetch")
         return config_fetch {.name = textOr(message, "name")};
-    return badMessage(kind);
+    return malformedMessage(kind);
 }
 
 result<peer_answer> peerAnswerFromJson(const Json::Value &message)
 {
-    const std::string kind = textOr(message, kindMember);
+    const std::string kind = textOr(message, kindField);
     if (kind == "ack")
         return gossip_ack {.rumors = rumorsFromJson(message["r"])};
     if (kind == "relayed")
         return gossip_relayed {.reached = flagOr(message, "reached", false)};
     if (kind == "confirmed")
-        return readConfirmed(message);
+        return parseConfirmed(message);
     if (kind == "granted")
-        return readGranted(message);
+        return parseGranted(message);
     if (kind == "object") {
         const Json::Value &item = message["object"];
         std::string value = textOr(item, "value");
         if (item.isObject() && item.isMember("deflated")) {
-            std::optional<std::string> inflatedValue = inflated(textOr(item, "deflated"));
+            std::optional<std::string> inflatedValue = inflateFromBase64(textOr(item, "deflated"));
             if (!inflatedValue)
-                return badMessage(kind);
+                return malformedMessage(kind);
             value = std::move(*inflatedValue);
         }
         return object {.name = textOr(item, "name"),
                        .version = integerOr(item, "version"),
                        .value = std::move(value)};
     }
-    return badMessage(kind);
+    return malformedMessage(kind);
 }
 
 } // namespace trefoil
--- /dev/null
+++ b/libs/control/src/rollout_coordinator.cpp
@@ -0,0 +1,161 @@
+#include <control/rollout_coordinator.h>
+
+#include <algorithm>
+#include <utility>
+
+#include <core/digest.h>
+
+namespace trefoil {
+
+namespace {
+
+/// Minimum time until the deadline that a new driver is given, also if the configured deadline is
+/// nearer or has passed.
+constexpr duration minTimeToDeadline = std::chrono::seconds(10);
+
+} // namespace
+
+std::string rolloutLeaseKey(const std::string &pool)
+{
+    return "rollouts/" + std::to_string(hash64(pool) % rolloutLeaseCount);
+}
+
+std::vector<std::string> rolloutLeaseKeys()
+{
+    std::vector<std::string> keys;
+    for (int i = 0; i < rolloutLeaseCount; ++i)
+        keys.push_back("rollouts/" + std::to_string(i));
+    return keys;
+}
+
+void rollout_coordinator::setConfiguration(
+    std::shared_ptr<const configuration_snapshot> configuration)
+{
+    m_configuration = std::move(configuration);
+    std::erase_if(m_drivers, [&](const auto &each) {
+        const pool *table = m_configuration->pools.poolNamed(each.first);
+        return !table || !table->rollout || table->rollout->from != each.second.driver.record().from
+            || table->rollout->to != each.second.driver.record().to;
+    });
+}
+
+bool rollout_coordinator::onRecord(const std::string &pool, std::uint64_t version,
+                                   const rollout_record &record)
+{
+    const auto found = m_records.find(pool);
+    if (found != m_records.end() && version <= found->second.first)
+        return false;
+    m_records[pool] = {version, record};
+    return true;
+}
+
+void rollout_coordinator::onWritten(const std::string &pool, write_outcome outcome,
+                                    std::uint64_t version)
+{
+    const auto found = m_drivers.find(pool);
+    if (found == m_drivers.end())
+        return;
+    found->second.writeInFlight = false;
+    if (outcome == write_outcome::Done)
+        m_records[pool] = {version, found->second.driver.record()};
+    // After a conflict another instance wrote the record, and after an unknown outcome this write
+    // may have succeeded: a new driver starts from the stored record.
+    else if (outcome != write_outcome::Refused)
+        m_drivers.erase(found);
+}
+
+void rollout_coordinator::onServerState(const std::string &server, const std::string &version,
+                                        bool reachable)
+{
+    m_servers[server] = {.name = server, .version = version, .reachable = reachable};
+}
+
+void rollout_coordinator::onOrderFailed(const std::string &pool, const std::string &server)
+{
+    const auto found = m_drivers.find(pool);
+    if (found != m_drivers.end())
+        found->second.driver.onOrderFailed(server);
+}
+
+std::vector<rollout_worker> rollout_coordinator::workersFor(const pool &table) const
+{
+    std::vector<rollout_worker> workers;
+    for (const backend_server &each : table.servers) {
+        if (each.leaving)
+            continue;
+        const auto reported = m_servers.find(each.name);
+        // A server counts as unreachable until its first report.
+        if (reported != m_servers.end())
+            workers.push_back(reported->second);
+        else
+            workers.push_back({.name = each.name, .version = each.version, .reachable = false});
+    }
+    return workers;
+}
+
+void rollout_coordinator::tick(timestamp now, std::int64_t wallSeconds,
+                               request_coordinator &requests)
+{
+    if (!m_configuration || !m_loaded)
+        return;
+    for (const pool &table : m_configuration->pools.pools) {
+        if (!table.rollout)
+            continue;
+        if (m_leases.holds(now, rolloutLeaseKey(table.name)))
+            stepDriver(now, wallSeconds, table, requests);
+        else
+            m_drivers.erase(table.name);
+    }
+}
+
+void rollout_coordinator::stepDriver(timestamp now, std::int64_t wallSeconds, const pool &table,
+                                     request_coordinator &requests)
+{
+    const std::string key = rolloutLeaseKey(table.name);
+    const std::uint64_t epoch = m_leases.record(key).value_or(lease_record {}).epoch;
+    const auto known = m_records.find(table.name);
+    std::optional<rollout_record> record;
+    if (known != m_records.end())
+        record = known->second.second;
+    auto found = m_drivers.find(table.name);
+    if (found == m_drivers.end()) {
+        const std::int64_t remaining = table.rollout->deadline - wallSeconds;
+        const timestamp deadline =
+            now + std::max<duration>(std::chrono::seconds(remaining), minTimeToDeadline);
+        rollout_driver driver({.from = table.rollout->from,
+                               .to = table.rollout->to,
+                               .start = now,
+                               .deadline = deadline},
+                              record);
+        found = m_drivers.emplace(table.name, driver_state {.driver = std::move(driver)}).first;
+    }
+    driver_state &state = found->second;
+    state.driver.setWorkers(workersFor(table));
+    const std::vector<load_order> orders =
+        state.driver.tick(now, epoch, requests.evidenceFor(table.name));
+    for (const load_order &order : orders) {
+        const auto server =
+            std::find_if(table.servers.begin(), table.servers.end(),
+                         [&](const backend_server &s) { return s.name == order.worker; });
+        m_orders.push_back({.pool = table.name,
+                            .order = order,
+                            .address = server->address,
+                            .credential = table.credential,
+                            .leaseKey = key});
+    }
+    // The traffic share takes effect only once the record is stored: the conditional write fails
+    // for a driver that lost its lease.
+    const bool changed = !record || *record != state.driver.record();
+    if (changed && !state.writeInFlight) {
+        state.writeInFlight = true;
+        m_writes.push_back({.pool = table.name,
+                            .record = state.driver.record(),
+                            .expected = known == m_records.end() ? 0 : known->second.first});
+    }
+}
+
+std::vector<rollout_write> rollout_coordinator::takeWrites() { return std::exchange(m_writes, {}); }
+
+std::vector<server_order> rollout_coordinator::takeOrders() { return std::exchange(m_orders, {}); }
+
+} // namespace trefoil
--- a/libs/control/tests/control_session_test.cpp
+++ b/libs/control/tests/control_session_test.cpp
@@ -27,11 +27,11 @@
 public:
     explicit session(std::uint64_t seed) : world(6, seed)
     {
-        world.onDecision = [this](const std::string &node, const traffic_decision &decision) {
-            if (const traffic_refuse *refusal = std::get_if<traffic_refuse>(&decision.what))
+        world.onDecision = [this](const std::string &node, const request_decision &decision) {
+            if (const refuse_decision *refusal = std::get_if<refuse_decision>(&decision.action))
                 line(node + " refuses " + std::to_string(decision.id) + ": " + refusal->code
                      + (refusal->mayHaveRun ? " unknown" : " not-run"));
-            else if (const traffic_go *go = std::get_if<traffic_go>(&decision.what))
+            else if (const send_decision *go = std::get_if<send_decision>(&decision.action))
                 line(node + " sends " + std::to_string(decision.id) + " to " + go->server);
         };
     }
--- a/trefoilrouter/src/callers_handler.cpp
+++ b/trefoilrouter/src/callers_handler.cpp
@@ -12,7 +12,7 @@
 #include <Poco/Net/HTTPServerRequestImpl.h>
 #include <Poco/Net/HTTPServerResponse.h>
 #include <Poco/URI.h>
-#include <control/entry_answer.h>
+#include <control/entry_selection.h>
 #include <core/json.h>
 #include <telemetry/log.h>
 
@@ -69,7 +69,7 @@
     return {};
 }
 
-Json::Value errorBody(const traffic_refuse &refusal, const std::string &elsewhere)
+Json::Value errorBody(const refuse_decision &refusal, const std::string &redirectTo)
 {
     Json::Value body(Json::objectValue);
     Json::Value &item = body["error"];
@@ -79,8 +79,8 @@
         item["type"] = "rate_limit_error";
     item["code"] = refusal.code;
     item["ran"] = refusal.mayHaveRun ? ranUnknown : notRun;
-    if (!elsewhere.empty())
-        item["entry"] = elsewhere;
+    if (!redirectTo.empty())
+        item["entry"] = redirectTo;
     return body;
 }
 
@@ -117,10 +117,10 @@
         return m_stream->good();
     }
 
-    void refuse(const traffic_refuse &refusal) override
+    void refuse(const refuse_decision &refusal) override
     {
         const std::string body =
-            writeJson(errorBody(refusal, addressOf(m_snapshot, refusal.elsewhere)));
+            writeJson(errorBody(refusal, addressOf(m_snapshot, refusal.redirectTo)));
         if (m_stream) {
             // The end marker stays out, so the caller can tell that the stream is not complete.
             event("", body);
@@ -275,13 +275,13 @@
         const team *own = routes.teamNamed(m_team);
         const double rate = own ? static_cast<double>(own->rate) : 0;
         const auto owner = m_snapshot->shardOwners.find(shardKey(m_team, m_snapshot->limitShards));
-        const std::vector<member> order = entryOrder(
+        const std::vector<member> order = rankEntryInstances(
             m_snapshot->members,
             {.team = m_team.empty() && target ? std::string_view(target->name) : m_team,
              .caller = m_keyDigest,
              .owner = owner == m_snapshot->shardOwners.end() ? std::string_view() : owner->second,
              .zone = m_options.zone,
-             .width = entryWidth(rate, rates, m_snapshot->members.size())});
+             .subsetSize = entrySubsetSize(rate, rates, m_snapshot->members.size())});
         Json::Value answer(Json::objectValue);
         answer["validity_seconds"] = Json::Int64(toMilliseconds(entryValidity) / 1000);
         answer["entries"] = Json::Value(Json::arrayValue);
@@ -383,7 +383,7 @@
                 {.status = 400, .code = chat.error().code, .message = chat.error().message});
             return;
         }
-        const configuration_view &configuration = *m_snapshot->configuration;
+        const configuration_snapshot &configuration = *m_snapshot->configuration;
         const route *target = configuration.routes.byModel(chat->model);
         if (!target) {
             sink.refuse({.status = 404,
--- a/trefoilrouter/src/control_thread.cpp
+++ b/trefoilrouter/src/control_thread.cpp
@@ -50,8 +50,8 @@
 void logChanges(const traffic_snapshot &before, const traffic_snapshot &after)
 {
     logMemberChanges(before.members, after.members);
-    const configuration_view &was = *before.configuration;
-    const configuration_view &is = *after.configuration;
+    const configuration_snapshot &was = *before.configuration;
+    const configuration_snapshot &is = *after.configuration;
     if (was.routesVersion != is.routesVersion)
         logInfo("configuration",
                 "Routes are in force at version " + std::to_string(is.routesVersion) + ".");
@@ -87,35 +87,35 @@
     return m_snapshot;
 }
 
-traffic_decision control_thread::await(std::uint64_t id, std::future<traffic_decision> decision)
+request_decision control_thread::await(std::uint64_t id, std::future<request_decision> decision)
 {
     if (decision.wait_for(decisionTimeout) == std::future_status::ready)
         return decision.get();
-    m_mailbox.post(traffic_end {.id = id});
+    m_mailbox.post(request_end_report {.id = id});
     // Whether a claim was made is not known, but nothing was sent after this.
     return {.id = id,
-            .what = traffic_refuse {.status = 503,
-                                    .code = "no-decision",
-                                    .message = "no decision came in time",
-                                    .retryAfter = std::chrono::seconds(1)}};
+            .action = refuse_decision {.status = 503,
+                                       .code = "no-decision",
+                                       .message = "no decision came in time",
+                                       .retryAfter = std::chrono::seconds(1)}};
 }
 
-traffic_decision control_thread::begin(traffic_begin request)
+request_decision control_thread::begin(incoming_request request)
 {
     const std::uint64_t id = request.id;
-    const auto reply = std::make_shared<std::promise<traffic_decision>>();
-    std::future<traffic_decision> decision = reply->get_future();
+    const auto reply = std::make_shared<std::promise<request_decision>>();
+    std::future<request_decision> decision = reply->get_future();
     m_mailbox.post(begin_message {.request = std::move(request), .reply = reply});
     return await(id, std::move(decision));
 }
 
-traffic_decision control_thread::failed(const traffic_failed &report)
+request_decision control_thread::failed(const attempt_failure_report &report)
 {
-    const auto reply = std::make_shared<std::promise<traffic_decision>>();
-    std::future<traffic_decision> decision = reply->get_future();
+    const auto reply = std::make_shared<std::promise<request_decision>>();
+    std::future<request_decision> decision = reply->get_future();
     m_mailbox.post(failed_message {.report = report, .reply = reply});
-    traffic_decision next = await(report.id, std::move(decision));
-    traffic_refuse *refusal = std::get_if<traffic_refuse>(&next.what);
+    request_decision next = await(report.id, std::move(decision));
+    refuse_decision *refusal = std::get_if<refuse_decision>(&next.action);
     if (refusal && refusal->code == "no-decision")
         refusal->mayHaveRun = true;
     return next;
@@ -200,11 +200,11 @@
         owner.m_decisions[message.report.id] = std::move(message.reply);
         node().onFailed(boot_clock::now(), message.report);
     }
-    void operator()(const traffic_first_token &report)
+    void operator()(const first_token_report &report)
     {
         node().onFirstToken(boot_clock::now(), report);
     }
-    void operator()(const traffic_end &report)
+    void operator()(const request_end_report &report)
     {
         owner.m_decisions.erase(report.id);
         node().onEnd(boot_clock::now(), report);
@@ -286,7 +286,7 @@
             outlet.order(std::move(*order));
         } else if (publish_snapshot *publish = std::get_if<publish_snapshot>(&action)) {
             this->publish(std::move(publish->snapshot));
-        } else if (traffic_decision *decision = std::get_if<traffic_decision>(&action)) {
+        } else if (request_decision *decision = std::get_if<request_decision>(&action)) {
             const auto found = m_decisions.find(decision->id);
             if (found == m_decisions.end())
                 continue;
--- a/trefoilrouter/src/control_thread.h
+++ b/trefoilrouter/src/control_thread.h
@@ -45,11 +45,11 @@
     /// Returns a number for a new request.
     std::uint64_t newRequestId() { return m_nextRequest.fetch_add(1); }
     /// Asks for the admission and placement of a request, and waits for the decision.
-    traffic_decision begin(traffic_begin request);
+    request_decision begin(incoming_request request);
     /// Reports a failed attempt, and waits for what to do next.
-    traffic_decision failed(const traffic_failed &report);
-    void firstToken(const traffic_first_token &report) { m_mailbox.post(report); }
-    void end(traffic_end report) { m_mailbox.post(std::move(report)); }
+    request_decision failed(const attempt_failure_report &report);
+    void firstToken(const first_token_report &report) { m_mailbox.post(report); }
+    void end(request_end_report report) { m_mailbox.post(std::move(report)); }
 
     /// @}
     /// @name Reports
@@ -83,13 +83,13 @@
 private:
     struct begin_message
     {
-        traffic_begin request;
-        std::shared_ptr<std::promise<traffic_decision>> reply;
+        incoming_request request;
+        std::shared_ptr<std::promise<request_decision>> reply;
     };
     struct failed_message
     {
-        traffic_failed report;
-        std::shared_ptr<std::promise<traffic_decision>> reply;
+        attempt_failure_report report;
+        std::shared_ptr<std::promise<request_decision>> reply;
     };
     struct peer_request_message
     {
@@ -132,16 +132,17 @@
     };
     struct leave_message
     { };
-    using message = std::variant<begin_message, failed_message, traffic_first_token, traffic_end,
-                                 peer_request_message, peer_answer_message, peer_failure_message,
-                                 platform_answer_message, server_state_message, order_done_message,
-                                 holds_message, status_message, leave_message>;
+    using message =
+        std::variant<begin_message, failed_message, first_token_report, request_end_report,
+                     peer_request_message, peer_answer_message, peer_failure_message,
+                     platform_answer_message, server_state_message, order_done_message,
+                     holds_message, status_message, leave_message>;
     struct dispatcher;
 
     result<void> run(const std::stop_token &stop, control_outlet &outlet);
     void carryOut(control_outlet &outlet);
     void publish(std::shared_ptr<const traffic_snapshot> snapshot);
-    traffic_decision await(std::uint64_t id, std::future<traffic_decision> decision);
+    request_decision await(std::uint64_t id, std::future<request_decision> decision);
 
     control_options m_options;
     mailbox<message> m_mailbox;
@@ -153,7 +154,7 @@
 
     // Owned by the control thread.
     std::unique_ptr<control_node> m_node;
-    std::map<std::uint64_t, std::shared_ptr<std::promise<traffic_decision>>> m_decisions;
+    std::map<std::uint64_t, std::shared_ptr<std::promise<request_decision>>> m_decisions;
     std::map<std::uint64_t, std::shared_ptr<std::promise<peer_answer>>> m_peerReplies;
     std::uint64_t m_nextToken = 1;
 };
--- a/trefoilrouter/src/instance.cpp
+++ b/trefoilrouter/src/instance.cpp
@@ -109,7 +109,7 @@
     {
         m_pollWork.post([this, action = std::move(action)] {
             // Asked again here: the order may have waited behind a slow server.
-            if (!control.askHolds(action.order.right)) {
+            if (!control.askHolds(action.order.leaseKey)) {
                 control.postOrderDone(action.id, false);
                 return;
             }
@@ -200,7 +200,7 @@
         if (const platform_put *put = std::get_if<platform_put>(&request))
             return platform.put(put->name, put->value, put->expected);
         if (const platform_watch *watch = std::get_if<platform_watch>(&request))
-            return platform.watch(watch->prefix, watch->from, watch->patience);
+            return platform.watch(watch->prefix, watch->from, watch->maxWait);
         return platform.instances();
     }
 
--- a/trefoilrouter/src/proxy.cpp
+++ b/trefoilrouter/src/proxy.cpp
@@ -34,7 +34,7 @@
         return attempt_failure::Crashed;
     if (code == backend_errors::timeout)
         return attempt_failure::Timeout;
-    return attempt_failure::Cut;
+    return attempt_failure::Truncated;
 }
 
 /// Returns the completion tokens that a whole answer reports, or nothing where it has no choices.
@@ -56,16 +56,16 @@
 
 void proxy::run()
 {
-    traffic_decision decision = m_parts.control.begin(m_request.begin);
+    request_decision decision = m_parts.control.begin(m_request.begin);
     while (true) {
         const std::uint64_t id = m_request.begin.id;
-        if (const traffic_refuse *refusal = std::get_if<traffic_refuse>(&decision.what)) {
+        if (const refuse_decision *refusal = std::get_if<refuse_decision>(&decision.action)) {
             m_parts.metrics.counterOf("trefoil_refused_total", "code=\"" + refusal->code + "\"")
                 .add();
             m_sink.refuse(*refusal);
             return;
         }
-        if (const traffic_replay *replay = std::get_if<traffic_replay>(&decision.what)) {
+        if (const replay_decision *replay = std::get_if<replay_decision>(&decision.action)) {
             m_sink.whole(replay->recorded.status, replay->recorded.contentType,
                          replay->recorded.answer);
             return;
@@ -77,7 +77,7 @@
             decision = m_parts.control.begin(m_request.begin);
             continue;
         }
-        const traffic_go go = std::get<traffic_go>(decision.what);
+        const send_decision go = std::get<send_decision>(decision.action);
         const std::uint64_t startedAt = wallMilliseconds();
         const attempt_end end = attempt(go);
         exportAttempt(go, startedAt, end);
@@ -108,7 +108,7 @@
                          .answer = std::move(m_answer)});
 }
 
-backend_request proxy::makeRequest(const traffic_go &go) const
+backend_request proxy::makeRequest(const send_decision &go) const
 {
     backend_request request {.method = m_request.method,
                              .path = m_request.path,
@@ -137,7 +137,7 @@
     logDebug("traffic", "an attempt failed: " + problem.message);
 }
 
-proxy::attempt_end proxy::attempt(const traffic_go &go)
+proxy::attempt_end proxy::attempt(const send_decision &go)
 {
     m_attemptTrace = childOf(m_request.trace);
     m_attempt = m_assembler.begin();
@@ -179,7 +179,7 @@
             break;
         body.append(piece.data(), *count);
         if (body.size() > maxWholeAnswer) {
-            fail(attempt_failure::Cut);
+            fail(attempt_failure::Truncated);
             return attempt_end::Failed;
         }
     }
@@ -187,7 +187,7 @@
     const bool isCut = head.hasContentLength()
         && body.size() != static_cast<std::size_t>(head.getContentLength64());
     if (isCut) {
-        fail(attempt_failure::Cut);
+        fail(attempt_failure::Truncated);
         return attempt_end::Failed;
     }
     exchange.finish();
@@ -228,11 +228,11 @@
             return attempt_end::Failed;
         }
         if (*count == 0) {
-            fail(m_assembler.next() == 0 ? attempt_failure::Empty : attempt_failure::Cut);
+            fail(m_assembler.next() == 0 ? attempt_failure::Empty : attempt_failure::Truncated);
             return attempt_end::Failed;
         }
         if (!parser.feed(std::string_view(piece.data(), *count), take)) {
-            fail(attempt_failure::Cut);
+            fail(attempt_failure::Truncated);
             return attempt_end::Failed;
         }
     }
@@ -259,7 +259,7 @@
         fail(attempt_failure::Empty);
         return attempt_end::Failed;
     case stream_step::Gap:
-        fail(attempt_failure::Cut);
+        fail(attempt_failure::Truncated);
         return attempt_end::Failed;
     case stream_step::Repeated:
     case stream_step::Stale:
@@ -274,7 +274,7 @@
         return;
     m_firstToken = true;
     const std::string cached = exchange.response().get("X-Cached-Tokens", "");
-    traffic_first_token report {.id = m_request.begin.id};
+    first_token_report report {.id = m_request.begin.id};
     if (!cached.empty())
         report.cachedTokens = std::strtod(cached.c_str(), nullptr);
     m_parts.control.firstToken(report);
@@ -290,7 +290,7 @@
     }
 }
 
-void proxy::exportAttempt(const traffic_go &go, std::uint64_t startedAt, attempt_end end)
+void proxy::exportAttempt(const send_decision &go, std::uint64_t startedAt, attempt_end end)
 {
     if (!m_parts.spans.isEnabled())
         return;
--- a/trefoilrouter/src/proxy.h
+++ b/trefoilrouter/src/proxy.h
@@ -33,7 +33,7 @@
     /// Sends one event. Returns false when the caller is gone.
     virtual bool event(std::string_view id, std::string_view data) = 0;
     /// Sends a refusal: a status and typed body, or an event where the stream has started.
-    virtual void refuse(const traffic_refuse &refusal) = 0;
+    virtual void refuse(const refuse_decision &refusal) = 0;
     /// Returns whether the caller went away.
     virtual bool isGone() = 0;
 };
@@ -41,7 +41,7 @@
 /// A checked request on its way to a pool.
 struct proxy_request
 {
-    traffic_begin begin;
+    incoming_request begin;
     const pool *target = nullptr;
     std::string method = "POST";
     std::string path;
@@ -78,23 +78,23 @@
 private:
     enum class attempt_end { GoOn, Done, Failed, CallerGone };
 
-    attempt_end attempt(const traffic_go &go);
+    attempt_end attempt(const send_decision &go);
     attempt_end readWhole(backend_exchange &exchange);
     attempt_end readStream(backend_exchange &exchange);
     attempt_end takeEvent(const server_event &event);
-    backend_request makeRequest(const traffic_go &go) const;
+    backend_request makeRequest(const send_decision &go) const;
     void noteFirstToken(const backend_exchange &exchange);
     void finish(bool answered);
     void fail(attempt_failure kind) { m_failure = kind; }
     void failWith(const error &problem);
-    void exportAttempt(const traffic_go &go, std::uint64_t startedAt, attempt_end end);
+    void exportAttempt(const send_decision &go, std::uint64_t startedAt, attempt_end end);
 
     proxy_parts m_parts;
     proxy_request m_request;
     answer_sink &m_sink;
     stream_assembler m_assembler;
     std::uint64_t m_attempt = 0; // as the assembler numbers them
-    attempt_failure m_failure = attempt_failure::Cut;
+    attempt_failure m_failure = attempt_failure::Truncated;
     trace_context m_attemptTrace;
     bool m_streamStarted = false;
     bool m_firstToken = false; // of the current attempt
