--- a/libs/control/tests/peer_codec_test.cpp
+++ b/libs/control/tests/peer_codec_test.cpp
@@ -5,19 +5,19 @@
 
 namespace trefoil {
 
-TEST(PeerCodec, LargeObjectsTravelDeflatedAndArriveWhole)
+TEST(PeerCodec, LargeObjectsAreDeflatedAndRoundTrip)
 {
     object item {.name = "config/routes", .version = 7, .value = {}};
     for (int i = 0; i < 2700; ++i)
         item.value += "  - {name: team-" + std::to_string(i) + ", rate: 20000, burst: 100000}\n";
     const std::string text = writeJson(toJson(peer_answer(item)));
     EXPECT_LT(text.size(), item.value.size() / 4);
-    const result<peer_answer> read = peerAnswerFromJson(*parseJson(text, "a message"));
-    ASSERT_TRUE(read.has_value());
-    EXPECT_EQ(std::get<object>(*read), item);
+    const result<peer_answer> decoded = peerAnswerFromJson(*parseJson(text, "a message"));
+    ASSERT_TRUE(decoded.has_value());
+    EXPECT_EQ(std::get<object>(*decoded), item);
 }
 
-TEST(PeerCodec, AMalformedOrHugeObjectIsRefused)
+TEST(PeerCodec, RejectsMalformedAndOversizedDeflatedObjects)
 {
     object item {.name = "config/routes", .version = 7, .value = std::string(5000, 'x')};
     Json::Value message = toJson(peer_answer(item));
@@ -27,12 +27,12 @@
     EXPECT_FALSE(peerAnswerFromJson(toJson(peer_answer(item))).has_value());
 }
 
-TEST(PeerCodec, SmallObjectsAndMalformedMessages)
+TEST(PeerCodec, SmallObjectsRoundTripAndMalformedMessagesAreRejected)
 {
     const object item {.name = "config/pools", .version = 3, .value = "pools: []"};
-    const result<peer_answer> read = peerAnswerFromJson(toJson(peer_answer(item)));
-    ASSERT_TRUE(read.has_value());
-    EXPECT_EQ(std::get<object>(*read), item);
+    const result<peer_answer> decoded = peerAnswerFromJson(toJson(peer_answer(item)));
+    ASSERT_TRUE(decoded.has_value());
+    EXPECT_EQ(std::get<object>(*decoded), item);
     EXPECT_FALSE(peerAnswerFromJson(Json::Value(Json::objectValue)).has_value());
     EXPECT_FALSE(peerRequestFromJson(*parseJson("{\"k\":\"sync\",\"h\":[1]}", "x")).has_value());
     EXPECT_FALSE(peerRequestFromJson(*parseJson("{\"k\":\"grant\"}", "x")).has_value());
