--- a/libs/control/benchmarks/allocation_count.cpp
+++ b/libs/control/benchmarks/allocation_count.cpp
@@ -5,14 +5,15 @@
 
 namespace {
 
-std::uint64_t count = 0;
+std::uint64_t allocations = 0;
 
 } // namespace
 
-// In a file of their own: inlined into callers, GCC 12 takes malloc and delete for a mismatch.
+// In a separate file: if these are inlined into callers, GCC 12 reports malloc and delete as
+// mismatched.
 void *operator new(std::size_t size)
 {
-    ++count;
+    ++allocations;
     if (void *memory = std::malloc(size))
         return memory;
     throw std::bad_alloc();
@@ -24,6 +25,6 @@
 
 namespace trefoil {
 
-std::uint64_t allocationCount() { return count; }
+std::uint64_t allocationCount() { return allocations; }
 
 } // namespace trefoil
--- a/libs/control/benchmarks/allocation_count.h
+++ b/libs/control/benchmarks/allocation_count.h
@@ -4,8 +4,8 @@
 
 namespace trefoil {
 
-/// Returns how often operator new was called in this program. Linking the file counts. Not
-/// thread-safe.
+/// Returns the number of calls of operator new in this program. Linking allocation_count.cpp
+/// replaces operator new by a counting one. Not thread-safe.
 std::uint64_t allocationCount();
 
 } // namespace trefoil
--- a/libs/control/benchmarks/bench_capacity.cpp
+++ b/libs/control/benchmarks/bench_capacity.cpp
@@ -1,5 +1,5 @@
 #include "allocation_count.h"
-#include "control_world.h"
+#include "control_simulation.h"
 
 #include <malloc.h>
 
@@ -18,17 +18,19 @@
 
 namespace {
 
-/// A measured cost at several sizes, and the line fitted through it.
-class slope
+/// Cost measured at several sizes, with a line fitted through the points.
+class cost_curve
 {
 public:
-    slope(std::string name, std::string unit) : m_name(std::move(name)), m_unit(std::move(unit)) { }
+    cost_curve(std::string name, std::string unit)
+        : m_name(std::move(name)), m_unit(std::move(unit))
+    { }
 
     void add(double size, double cost) { m_points.emplace_back(size, cost); }
 
-    /// Appends the least-squares line, and how the cost grew from the smallest to the largest size:
-    /// an exponent above 1 is faster than linear.
-    void write(report_table &table) const
+    /// Appends a row with the least-squares line and the growth exponent between the smallest and
+    /// the largest size: above 1 the cost grows faster than linearly.
+    void addTo(report_table &table) const
     {
         double sumX = 0;
         double sumY = 0;
@@ -41,11 +43,11 @@
             sumXY += point.first * point.second;
         }
         const double count = static_cast<double>(m_points.size());
-        const double gradient = (count * sumXY - sumX * sumY) / (count * sumXX - sumX * sumX);
-        const double base = (sumY - gradient * sumX) / count;
+        const double slope = (count * sumXY - sumX * sumY) / (count * sumXX - sumX * sumX);
+        const double intercept = (sumY - slope * sumX) / count;
         const double exponent = std::log(m_points.back().second / m_points.front().second)
             / std::log(m_points.back().first / m_points.front().first);
-        table.add({m_name, m_unit, formatNumber(base, 3), formatNumber(gradient, 5),
+        table.add({m_name, m_unit, formatNumber(intercept, 3), formatNumber(slope, 5),
                    formatNumber(exponent, 2)});
     }
 
@@ -55,32 +57,32 @@
     std::vector<std::pair<double, double>> m_points;
 };
 
-/// Every slope measured, in the order of the tables.
-std::vector<slope> &slopes()
+/// Returns all measured curves, in the order of the tables.
+std::vector<cost_curve> &costCurves()
 {
-    static std::vector<slope> all;
+    static std::vector<cost_curve> all;
     return all;
 }
 
-report_table slopesTable()
+report_table costCurvesTable()
 {
     report_table table("slopes", {"cost", "unit", "base", "for each more", "exponent"});
-    for (const slope &each : slopes())
-        each.write(table);
+    for (const cost_curve &each : costCurves())
+        each.addTo(table);
     return table;
 }
 
-/// Bytes in use on the heap.
+/// Returns the bytes allocated on the heap.
 double heapBytes() { return static_cast<double>(mallinfo2().uordblks); }
 
-double secondsOf(const std::function<void()> &action)
+double measureSeconds(const std::function<void()> &action)
 {
     const std::chrono::steady_clock::time_point before = std::chrono::steady_clock::now();
     action();
     return std::chrono::duration<double>(std::chrono::steady_clock::now() - before).count();
 }
 
-std::string routesOf(int teams)
+std::string makeRoutes(int teams)
 {
     std::string text = "teams:\n";
     for (int i = 0; i < teams; ++i)
@@ -89,7 +91,7 @@
     return text;
 }
 
-std::string poolsOf(int servers)
+std::string makePools(int servers)
 {
     std::string text = "pools:\n  - name: engines\n    kind: engine\n    servers:\n";
     for (int i = 0; i < servers; ++i)
@@ -99,92 +101,96 @@
     return text;
 }
 
-/// Steady state and one change of configuration, as the fleet grows.
-report_table instancesTable()
+/// Measures the steady state and one configuration change for growing numbers of instances.
+report_table benchInstances()
 {
     report_table table("control of a node as instances grow (100 teams, 10 backend servers)",
                        {"instances", "messages/s", "KB/s", "% of a core", "platform reads/s",
                         "writes/s", "watches/s", "change in force everywhere s",
                         "KB a node a change", "heap MB a node", "allocations/s"});
-    slope cpuSlope("processor of a node, by instances", "% of a core");
-    slope byteSlope("steady bytes of a node, by instances", "KB/s");
-    slope changeSlope("bytes of a node for a change, by instances", "KB");
-    slope heapSlope("heap of a node, by instances", "MB");
-    slope readSlope("platform reads, by instances", "1/s");
+    cost_curve cpuCurve("processor of a node, by instances", "% of a core");
+    cost_curve byteCurve("steady bytes of a node, by instances", "KB/s");
+    cost_curve changeCurve("bytes of a node for a change, by instances", "KB");
+    cost_curve heapCurve("heap of a node, by instances", "MB");
+    cost_curve readCurve("platform reads, by instances", "1/s");
     for (const int size : {10, 33, 110, 330}) {
         const double heapBefore = heapBytes();
-        control_world world(size, 1);
-        world.apply(config_names::routes, routesOf(100));
-        world.apply(config_names::pools, poolsOf(10));
-        world.run(std::chrono::seconds(15));
+        control_simulation simulation(size, 1);
+        simulation.apply(config_names::routes, makeRoutes(100));
+        simulation.apply(config_names::pools, makePools(10));
+        simulation.run(std::chrono::seconds(15));
         const double heap = (heapBytes() - heapBefore) / size;
-        world.meters.clear();
-        world.platformReads = 0;
-        world.platformWrites = 0;
-        world.platformWatches = 0;
+        simulation.usage.clear();
+        simulation.platformReads = 0;
+        simulation.platformWrites = 0;
+        simulation.platformWatches = 0;
         constexpr double seconds = 10;
         const std::uint64_t allocationsBefore = allocationCount();
-        world.run(fromSeconds(seconds));
-        const double allocated = static_cast<double>(allocationCount() - allocationsBefore);
+        simulation.run(fromSeconds(seconds));
+        const double allocations = static_cast<double>(allocationCount() - allocationsBefore);
         double messages = 0;
         double bytes = 0;
         double cpu = 0;
-        for (const std::pair<const std::string, control_world::meter> &each : world.meters) {
+        for (const std::pair<const std::string, control_simulation::node_usage> &each :
+             simulation.usage) {
             messages += static_cast<double>(each.second.messages);
             bytes += static_cast<double>(each.second.bytes);
             cpu += each.second.cpuSeconds;
         }
-        const double share = 1 / (seconds * size);
-        const std::uint64_t reads = world.platformReads;
-        const std::uint64_t writes = world.platformWrites;
-        const std::uint64_t watches = world.platformWatches;
-        world.meters.clear();
-        world.apply(config_names::routes, routesOf(101));
-        const timestamp changed = world.now;
-        const auto inForce = [&] {
-            for (const std::string &name : world.names()) {
-                if (world.inForce(name).routes.teams.size() != 101)
+        const double perNodeSecond = 1 / (seconds * size);
+        const std::uint64_t reads = simulation.platformReads;
+        const std::uint64_t writes = simulation.platformWrites;
+        const std::uint64_t watches = simulation.platformWatches;
+        simulation.usage.clear();
+        simulation.apply(config_names::routes, makeRoutes(101));
+        const timestamp changedAt = simulation.now;
+        const auto isActiveEverywhere = [&] {
+            for (const std::string &name : simulation.names()) {
+                if (simulation.activeConfiguration(name).routes.teams.size() != 101)
                     return false;
             }
             return true;
         };
-        while (!inForce() && world.now - changed < std::chrono::seconds(60))
-            world.run(std::chrono::milliseconds(20));
-        const double took = toSeconds(world.now - changed);
+        while (!isActiveEverywhere() && simulation.now - changedAt < std::chrono::seconds(60))
+            simulation.run(std::chrono::milliseconds(20));
+        const double propagationSeconds = toSeconds(simulation.now - changedAt);
         double changeBytes = 0;
-        for (const std::pair<const std::string, control_world::meter> &each : world.meters)
+        for (const std::pair<const std::string, control_simulation::node_usage> &each :
+             simulation.usage)
             changeBytes += static_cast<double>(each.second.bytes);
-        const double usual = bytes / seconds * took;
-        cpuSlope.add(size, cpu * share * 100);
-        byteSlope.add(size, bytes * share / 1000);
-        changeSlope.add(size, (changeBytes - usual) / size / 1000);
-        heapSlope.add(size, heap / 1e6);
-        readSlope.add(size, static_cast<double>(reads) / seconds);
-        table.add({std::to_string(size), formatNumber(messages * share, 1),
-                   formatNumber(bytes * share / 1000, 2), formatNumber(cpu * share * 100, 3),
+        const double steadyBytes = bytes / seconds * propagationSeconds;
+        cpuCurve.add(size, cpu * perNodeSecond * 100);
+        byteCurve.add(size, bytes * perNodeSecond / 1000);
+        changeCurve.add(size, (changeBytes - steadyBytes) / size / 1000);
+        heapCurve.add(size, heap / 1e6);
+        readCurve.add(size, static_cast<double>(reads) / seconds);
+        table.add({std::to_string(size), formatNumber(messages * perNodeSecond, 1),
+                   formatNumber(bytes * perNodeSecond / 1000, 2),
+                   formatNumber(cpu * perNodeSecond * 100, 3),
                    formatNumber(static_cast<double>(reads) / seconds, 1),
                    formatNumber(static_cast<double>(writes) / seconds, 2),
-                   formatNumber(static_cast<double>(watches) / seconds, 1), formatNumber(took, 2),
-                   formatNumber((changeBytes - usual) / size / 1000, 1),
-                   formatNumber(heap / 1e6, 2), formatNumber(allocated * share, 0)});
+                   formatNumber(static_cast<double>(watches) / seconds, 1),
+                   formatNumber(propagationSeconds, 2),
+                   formatNumber((changeBytes - steadyBytes) / size / 1000, 1),
+                   formatNumber(heap / 1e6, 2), formatNumber(allocations * perNodeSecond, 0)});
     }
-    for (const slope &each : {cpuSlope, byteSlope, changeSlope, heapSlope, readSlope})
-        slopes().push_back(each);
+    for (const cost_curve &each : {cpuCurve, byteCurve, changeCurve, heapCurve, readCurve})
+        costCurves().push_back(each);
     return table;
 }
 
-report_table teamsTable()
+report_table benchTeams()
 {
     report_table table("an instance as teams grow",
                        {"teams", "routes table KB", "time to check and take it ms", "heap KB",
                         "heap bytes a team"});
-    slope parseSlope("checking and taking the routes table, by teams", "ms");
-    slope heapSlope("heap, by teams", "KB");
+    cost_curve parseCurve("checking and taking the routes table, by teams", "ms");
+    cost_curve heapCurve("heap, by teams", "KB");
     for (const int teams : {27, 270, 2700}) {
-        const std::string text = routesOf(teams);
+        const std::string text = makeRoutes(teams);
         const double before = heapBytes();
         configuration_store store;
-        const double seconds = secondsOf(
+        const double seconds = measureSeconds(
             [&] { store.apply({.name = config_names::routes, .version = 1, .value = text}); });
         lease_keeper keeper({.self = "n", .zone = "a", .keys = shardKeys(32)}, timestamp());
         limit_node limits({.self = "n"}, keeper);
@@ -194,23 +200,23 @@
                                 .burst = static_cast<double>(each.burst)};
         limits.setTeams(timestamp(), rates);
         const double heap = heapBytes() - before;
-        parseSlope.add(teams, seconds * 1000);
-        heapSlope.add(teams, heap / 1000);
+        parseCurve.add(teams, seconds * 1000);
+        heapCurve.add(teams, heap / 1000);
         table.add({std::to_string(teams), formatNumber(static_cast<double>(text.size()) / 1000, 1),
                    formatNumber(seconds * 1000, 1), formatNumber(heap / 1000, 0),
                    formatNumber(heap / teams, 0)});
     }
-    slopes().push_back(parseSlope);
-    slopes().push_back(heapSlope);
+    costCurves().push_back(parseCurve);
+    costCurves().push_back(heapCurve);
     return table;
 }
 
-report_table workersTable()
+report_table benchBackendServers()
 {
     report_table table(
         "placement as backend servers grow (prompts of 10 blocks)",
         {"backend servers", "choose us", "allocations", "heap KB", "heap bytes a server"});
-    slope chooseSlope("choosing a backend server, by servers of the pool", "us");
+    cost_curve chooseCurve("choosing a backend server, by servers of the pool", "us");
     for (const int count : {10, 100, 1000}) {
         const double before = heapBytes();
         placement pool({.randomSeed = 1});
@@ -229,29 +235,29 @@
         }
         const timestamp now {std::chrono::seconds(100)};
         const std::uint64_t allocationsBefore = allocationCount();
-        const double seconds = secondsOf([&] {
+        const double seconds = measureSeconds([&] {
             for (const prefix_chain &chain : chains) {
                 const std::optional<placement_choice> choice =
                     pool.choose(now, {.chain = &chain, .zone = "a"});
                 pool.noteSent(now, choice->server, chain, choice->believedBlocks);
             }
         });
-        const double allocated =
+        const double allocations =
             static_cast<double>(allocationCount() - allocationsBefore) / rounds;
-        chooseSlope.add(count, seconds / rounds * 1e6);
+        chooseCurve.add(count, seconds / rounds * 1e6);
         table.add({std::to_string(count), formatNumber(seconds / rounds * 1e6, 1),
-                   formatNumber(allocated, 0), formatNumber(heap / 1000, 0),
+                   formatNumber(allocations, 0), formatNumber(heap / 1000, 0),
                    formatNumber(heap / count, 0)});
     }
-    slopes().push_back(chooseSlope);
+    costCurves().push_back(chooseCurve);
     return table;
 }
 
-report_table prefixesTable()
+report_table benchCacheBlocks()
 {
     report_table table("belief about caches as blocks grow",
                        {"blocks", "event ns", "heap KB", "heap bytes a block"});
-    slope beliefSlope("heap of belief, by blocks", "KB");
+    cost_curve beliefCurve("heap of belief, by blocks", "KB");
     for (const int blocks : {1000, 10000, 100000}) {
         std::vector<digest128> digests;
         for (int i = 0; i < blocks; ++i)
@@ -259,25 +265,25 @@
         const double before = heapBytes();
         cache_belief belief("v1", 1);
         const timestamp now {std::chrono::seconds(100)};
-        const double seconds = secondsOf([&] {
+        const double seconds = measureSeconds([&] {
             for (int i = 0; i < blocks; ++i)
                 belief.noteEvents(now, static_cast<std::uint64_t>(i) + 1,
                                   std::span(digests).subspan(static_cast<std::size_t>(i), 1), {});
         });
         const double heap = heapBytes() - before;
-        beliefSlope.add(blocks, heap / 1000);
+        beliefCurve.add(blocks, heap / 1000);
         table.add({std::to_string(blocks), formatNumber(seconds / blocks * 1e9, 0),
                    formatNumber(heap / 1000, 0), formatNumber(heap / blocks, 0)});
     }
-    slopes().push_back(beliefSlope);
+    costCurves().push_back(beliefCurve);
     return table;
 }
 
-report_table ownerTable()
+report_table benchLimitOwner()
 {
     report_table table("limit owner as open requests of a team grow",
                        {"open requests", "reserve and settle us", "heap bytes a request"});
-    slope settleSlope("reserving and settling, by open requests of a team", "us");
+    cost_curve settleCurve("reserving and settling, by open requests of a team", "us");
     for (const int open : {100, 1000, 10000}) {
         const double before = heapBytes();
         const timestamp start {std::chrono::seconds(100)};
@@ -287,56 +293,58 @@
             ids.push_back(*account.reserve(start, 1000));
         const double heap = heapBytes() - before;
         constexpr int rounds = 1000;
-        const double seconds = secondsOf([&] {
+        const double seconds = measureSeconds([&] {
             for (int i = 0; i < rounds; ++i) {
-                const std::size_t at = static_cast<std::size_t>(i * 7919 % open);
-                account.settle(start, ids[at], 100);
-                ids[at] = *account.reserve(start, 1000);
+                const std::size_t index = static_cast<std::size_t>(i * 7919 % open);
+                account.settle(start, ids[index], 100);
+                ids[index] = *account.reserve(start, 1000);
             }
         });
-        settleSlope.add(open, seconds / rounds * 1e6);
+        settleCurve.add(open, seconds / rounds * 1e6);
         table.add({std::to_string(open), formatNumber(seconds / rounds * 1e6, 2),
                    formatNumber(heap / open, 0)});
     }
-    slopes().push_back(settleSlope);
+    costCurves().push_back(settleCurve);
     return table;
 }
 
-report_table changesTable()
+report_table benchConfigurationChanges()
 {
     report_table table("changes of configuration in a minute (33 instances, 100 teams)",
                        {"changes", "KB/s a node", "% of a core", "platform reads/s"});
-    slope byteSlope("bytes of a node, by changes in a minute at 33 instances", "KB/s");
-    slope cpuSlope("processor of a node, by changes in a minute at 33 instances", "% of a core");
+    cost_curve byteCurve("bytes of a node, by changes in a minute at 33 instances", "KB/s");
+    cost_curve cpuCurve("processor of a node, by changes in a minute at 33 instances",
+                        "% of a core");
     for (const int changes : {1, 10, 60}) {
-        control_world world(33, 1);
-        world.apply(config_names::routes, routesOf(100));
-        world.apply(config_names::pools, poolsOf(10));
-        world.run(std::chrono::seconds(15));
-        world.meters.clear();
-        world.platformReads = 0;
+        control_simulation simulation(33, 1);
+        simulation.apply(config_names::routes, makeRoutes(100));
+        simulation.apply(config_names::pools, makePools(10));
+        simulation.run(std::chrono::seconds(15));
+        simulation.usage.clear();
+        simulation.platformReads = 0;
         for (int i = 0; i < changes; ++i) {
-            world.apply(config_names::routes, routesOf(101 + i));
-            world.run(fromSeconds(60.0 / changes));
+            simulation.apply(config_names::routes, makeRoutes(101 + i));
+            simulation.run(fromSeconds(60.0 / changes));
         }
         double bytes = 0;
         double cpu = 0;
-        for (const std::pair<const std::string, control_world::meter> &each : world.meters) {
+        for (const std::pair<const std::string, control_simulation::node_usage> &each :
+             simulation.usage) {
             bytes += static_cast<double>(each.second.bytes) / 33 / 60;
             cpu += each.second.cpuSeconds / 33 / 60;
         }
-        byteSlope.add(changes, bytes / 1000);
-        cpuSlope.add(changes, cpu * 100);
+        byteCurve.add(changes, bytes / 1000);
+        cpuCurve.add(changes, cpu * 100);
         table.add({std::to_string(changes), formatNumber(bytes / 1000, 1),
                    formatNumber(cpu * 100, 3),
-                   formatNumber(static_cast<double>(world.platformReads) / 60, 1)});
+                   formatNumber(static_cast<double>(simulation.platformReads) / 60, 1)});
     }
-    slopes().push_back(byteSlope);
-    slopes().push_back(cpuSlope);
+    costCurves().push_back(byteCurve);
+    costCurves().push_back(cpuCurve);
     return table;
 }
 
-report_table messagesTable()
+report_table benchMessageSizes()
 {
     report_table table("messages as encoded", {"message", "bytes"});
     const auto size = [](const auto &message) {
@@ -354,33 +362,33 @@
                                               .amount = 16000,
                                               .life = std::chrono::seconds(2)};
     const peer_request confirm = confirm_ask {.from = "entry-1", .items = {{"limits/12", 4}}};
-    const member about {.info = {.name = "entry-1",
-                                 .zone = "a",
-                                 .region = "sicily",
-                                 .callers = "10.0.0.11:8080",
-                                 .peers = "10.0.0.11:8081",
-                                 .incarnation = 1796356379000}};
-    const peer_request ping = gossip_ping {.from = "entry-1", .rumors = {toRumor(about)}};
+    const member announced {.info = {.name = "entry-1",
+                                     .zone = "a",
+                                     .region = "sicily",
+                                     .callers = "10.0.0.11:8080",
+                                     .peers = "10.0.0.11:8081",
+                                     .incarnation = 1796356379000}};
+    const peer_request ping = gossip_ping {.from = "entry-1", .rumors = {toRumor(announced)}};
     table.add({"grant ask", size(ask)});
     table.add({"grant answer", size(granted)});
     table.add({"confirmation ask, one right", size(confirm)});
     table.add({"ping with one member's rumor", size(ping)});
-    const std::string routes = routesOf(2700);
-    const peer_answer contents =
+    const std::string routes = makeRoutes(2700);
+    const peer_answer routesObject =
         object {.name = config_names::routes, .version = 12345, .value = routes};
     table.add({"routes of 2,700 teams (" + std::to_string(routes.size()) + " bytes as text)",
-               size(contents)});
+               size(routesObject)});
     return table;
 }
 
 } // namespace
 
-/// Measures what control costs, on the real state machines and codecs.
+/// Measures the costs of the control library with its real state machines and codecs.
 int main(int argc, char **argv)
 {
-    std::vector<report_table> tables {instancesTable(), changesTable(),  teamsTable(),
-                                      workersTable(),   prefixesTable(), ownerTable(),
-                                      messagesTable()};
-    tables.push_back(slopesTable());
+    std::vector<report_table> tables {
+        benchInstances(),   benchConfigurationChanges(), benchTeams(),       benchBackendServers(),
+        benchCacheBlocks(), benchLimitOwner(),           benchMessageSizes()};
+    tables.push_back(costCurvesTable());
     return report(tables, argc, argv);
 }
--- a/libs/control/benchmarks/control_world.cpp
+++ b/libs/control/benchmarks/control_simulation.cpp
@@ -1,4 +1,4 @@
-#include "control_world.h"
+#include "control_simulation.h"
 
 #include <ctime>
 #include <utility>
@@ -9,13 +9,14 @@
 
 namespace {
 
-/// As often as the daemon's control thread ticks.
-constexpr duration stepTime = std::chrono::milliseconds(20);
+/// Tick period of the daemon's control thread.
+constexpr duration tickPeriod = std::chrono::milliseconds(20);
 
-/// Heads of an HTTP request and its response on a kept connection, and of JSON-RPC's envelope.
-constexpr std::size_t headBytes = 260;
+/// Size of the HTTP request and response headers on a persistent connection plus the JSON-RPC
+/// envelope.
+constexpr std::size_t messageOverheadBytes = 260;
 
-double threadSeconds()
+double threadCpuSeconds()
 {
     timespec reading {};
     clock_gettime(CLOCK_THREAD_CPUTIME_ID, &reading);
@@ -24,17 +25,17 @@
 
 } // namespace
 
-control_world::control_world(int size, std::uint64_t seed)
-    : link([](const std::string &, const std::string &) { return true; }), m_seed(seed),
+control_simulation::control_simulation(int size, std::uint64_t seed)
+    : isReachable([](const std::string &, const std::string &) { return true; }), m_seed(seed),
       m_random(seed), m_size(size)
 {
     for (int i = 0; i < size; ++i)
         start(nameOf(i));
 }
 
-std::string control_world::nameOf(int index) { return "n" + std::to_string(1000 + index); }
+std::string control_simulation::nameOf(int index) { return "n" + std::to_string(1000 + index); }
 
-std::vector<std::string> control_world::names() const
+std::vector<std::string> control_simulation::names() const
 {
     std::vector<std::string> all;
     for (auto it = m_nodes.begin(); it != m_nodes.end(); ++it)
@@ -42,9 +43,9 @@
     return all;
 }
 
-void control_world::start(const std::string &name)
+void control_simulation::start(const std::string &name)
 {
-    // Eleven zones, as at the target size; fewer nodes fill fewer.
+    // Eleven zones, as in the target deployment; smaller clusters use fewer.
     const std::string zone(1, static_cast<char>('a' + std::stoi(name.substr(1)) % 11));
     control_options options {.self = {.name = name,
                                       .zone = zone,
@@ -58,66 +59,66 @@
     m_activeConfiguration[name] = std::make_shared<const configuration_snapshot>();
 }
 
-void control_world::apply(const std::string &name, const std::string &value)
+void control_simulation::apply(const std::string &name, const std::string &value)
 {
     const result<object> current = m_objects.get(name);
     m_objects.put(name, value, current ? current->version : 0);
 }
 
-void control_world::after(duration delay, std::function<void()> action)
+void control_simulation::schedule(duration delay, std::function<void()> action)
 {
-    m_due.emplace(now + delay, std::move(action));
+    m_scheduled.emplace(now + delay, std::move(action));
 }
 
-void control_world::count(const std::string &name, std::size_t bytes)
+void control_simulation::countMessage(const std::string &name, std::size_t bytes)
 {
-    meter &item = meters[name];
+    node_usage &item = usage[name];
     ++item.messages;
-    item.bytes += bytes + headBytes;
+    item.bytes += bytes + messageOverheadBytes;
 }
 
 template <typename Action>
-void control_world::measured(const std::string &name, const Action &action)
+void control_simulation::measureCpu(const std::string &name, const Action &action)
 {
-    const double before = threadSeconds();
+    const double before = threadCpuSeconds();
     action();
-    meters[name].cpuSeconds += threadSeconds() - before;
+    usage[name].cpuSeconds += threadCpuSeconds() - before;
 }
 
-void control_world::run(duration time)
+void control_simulation::run(duration time)
 {
     const timestamp end = now + time;
     while (now < end) {
-        now += stepTime;
-        while (!m_due.empty() && m_due.begin()->first <= now) {
-            const std::function<void()> action = std::move(m_due.begin()->second);
-            m_due.erase(m_due.begin());
+        now += tickPeriod;
+        while (!m_scheduled.empty() && m_scheduled.begin()->first <= now) {
+            const std::function<void()> action = std::move(m_scheduled.begin()->second);
+            m_scheduled.erase(m_scheduled.begin());
             action();
         }
         answerWatches();
         for (const std::string &name : names()) {
-            if (frozen.contains(name))
+            if (pausedNodes.contains(name))
                 continue;
-            measured(name, [&] {
+            measureCpu(name, [&] {
                 m_nodes[name]->tick(
                     now, static_cast<std::uint64_t>(toMilliseconds(now.time_since_epoch())));
             });
-            carryOut(name);
+            executeActions(name);
         }
     }
 }
 
-void control_world::carryOut(const std::string &name)
+void control_simulation::executeActions(const std::string &name)
 {
     for (control_action &action : m_nodes[name]->takeActions()) {
         if (peer_send *sent = std::get_if<peer_send>(&action)) {
-            send(name, std::move(*sent));
+            sendRequest(name, std::move(*sent));
         } else if (platform_call *called = std::get_if<platform_call>(&action)) {
-            call(name, std::move(*called));
+            callPlatform(name, std::move(*called));
         } else if (const peer_reply *reply = std::get_if<peer_reply>(&action)) {
-            const relay asker = m_relays[reply->token];
-            m_relays.erase(reply->token);
-            answer(asker.from, asker.id, name, reply->answer);
+            const pending_reply requester = m_pendingReplies[reply->token];
+            m_pendingReplies.erase(reply->token);
+            sendAnswer(requester.from, requester.id, name, reply->answer);
         } else if (const publish_snapshot *published = std::get_if<publish_snapshot>(&action)) {
             m_activeConfiguration[name] = published->snapshot->configuration;
         } else if (const request_decision *decision = std::get_if<request_decision>(&action)) {
@@ -129,60 +130,60 @@
     }
 }
 
-void control_world::send(const std::string &name, peer_send action)
+void control_simulation::sendRequest(const std::string &name, peer_send action)
 {
     std::string text;
-    measured(name, [&] { text = writeJson(toJson(action.request)); });
-    count(name, text.size());
+    measureCpu(name, [&] { text = writeJson(toJson(action.request)); });
+    countMessage(name, text.size());
     if (!m_nodes.contains(action.to)) {
-        after(std::chrono::milliseconds(2), [this, name, id = action.id] {
+        schedule(std::chrono::milliseconds(2), [this, name, id = action.id] {
             if (m_nodes.contains(name))
                 m_nodes[name]->onPeerFailure(now, id, true);
         });
         return;
     }
-    if (!link(name, action.to) || frozen.contains(action.to)) {
-        after(std::chrono::milliseconds(400), [this, name, id = action.id] {
+    if (!isReachable(name, action.to) || pausedNodes.contains(action.to)) {
+        schedule(std::chrono::milliseconds(400), [this, name, id = action.id] {
             if (m_nodes.contains(name))
                 m_nodes[name]->onPeerFailure(now, id, false);
         });
         return;
     }
-    after(std::chrono::milliseconds(1),
-          [this, name, id = action.id, to = action.to, text] { deliver(name, id, to, text); });
+    schedule(std::chrono::milliseconds(1),
+             [this, name, id = action.id, to = action.to, text] { deliver(name, id, to, text); });
 }
 
-void control_world::deliver(const std::string &from, std::uint64_t id, const std::string &to,
-                            const std::string &text)
+void control_simulation::deliver(const std::string &from, std::uint64_t id, const std::string &to,
+                                 const std::string &text)
 {
     if (!m_nodes.contains(to))
         return;
-    count(to, text.size());
+    countMessage(to, text.size());
     std::optional<peer_answer> reply;
-    measured(to, [&] {
+    measureCpu(to, [&] {
         const result<Json::Value> message = parseJson(text, "a message");
         const result<peer_request> request = peerRequestFromJson(*message);
         const std::uint64_t token = m_nextToken++;
-        m_relays[token] = {.from = from, .id = id};
+        m_pendingReplies[token] = {.from = from, .id = id};
         reply = m_nodes[to]->onPeerRequest(now, token, *request);
         if (reply)
-            m_relays.erase(token);
+            m_pendingReplies.erase(token);
     });
     if (reply)
-        answer(from, id, to, *reply);
+        sendAnswer(from, id, to, *reply);
 }
 
-void control_world::answer(const std::string &from, std::uint64_t id, const std::string &to,
-                           const peer_answer &reply)
+void control_simulation::sendAnswer(const std::string &from, std::uint64_t id,
+                                    const std::string &to, const peer_answer &reply)
 {
     std::string text;
-    measured(to, [&] { text = writeJson(toJson(reply)); });
-    meters[to].bytes += text.size();
-    after(std::chrono::milliseconds(1), [this, from, id, text] {
+    measureCpu(to, [&] { text = writeJson(toJson(reply)); });
+    usage[to].bytes += text.size();
+    schedule(std::chrono::milliseconds(1), [this, from, id, text] {
         if (!m_nodes.contains(from))
             return;
-        meters[from].bytes += text.size();
-        measured(from, [&] {
+        usage[from].bytes += text.size();
+        measureCpu(from, [&] {
             const result<Json::Value> message = parseJson(text, "a message");
             const result<peer_answer> answer = peerAnswerFromJson(*message);
             if (answer)
@@ -191,7 +192,7 @@
     });
 }
 
-platform_answer control_world::refusal(const platform_request &request)
+platform_answer control_simulation::unavailableAnswer(const platform_request &request)
 {
     const tl::unexpected<error> none = failure(platform_errors::unavailable, "out");
     if (std::holds_alternative<platform_list>(request))
@@ -205,7 +206,7 @@
     return result<std::vector<listed_instance>>(none);
 }
 
-platform_answer control_world::platformAnswer(const platform_request &request)
+platform_answer control_simulation::platformAnswer(const platform_request &request)
 {
     if (const platform_list *list = std::get_if<platform_list>(&request))
         return result<std::vector<object>>(m_objects.list(list->prefix));
@@ -219,15 +220,15 @@
     return result<std::vector<listed_instance>>(listed);
 }
 
-void control_world::call(const std::string &name, platform_call action)
+void control_simulation::callPlatform(const std::string &name, platform_call action)
 {
     const bool isWatch = std::holds_alternative<platform_watch>(action.request);
     const bool isWrite = std::holds_alternative<platform_put>(action.request);
     platformWatches += isWatch ? 1 : 0;
     platformWrites += isWrite ? 1 : 0;
     platformReads += !isWatch && !isWrite ? 1 : 0;
-    count(name, 200);
-    if (isWatch && !platformOut && !platformCut.contains(name)) {
+    countMessage(name, 200);
+    if (isWatch && !isPlatformDown && !nodesWithoutPlatform.contains(name)) {
         const platform_watch &watch = std::get<platform_watch>(action.request);
         m_watches.push_back({.node = name,
                              .id = action.id,
@@ -236,32 +237,33 @@
                              .deadline = now + watch.maxWait});
         return;
     }
-    after(std::chrono::milliseconds(4), [this, name, action = std::move(action)] {
+    schedule(std::chrono::milliseconds(4), [this, name, action = std::move(action)] {
         if (!m_nodes.contains(name))
             return;
-        const bool out = platformOut || platformCut.contains(name);
+        const bool isUnavailable = isPlatformDown || nodesWithoutPlatform.contains(name);
         const platform_answer reply =
-            out ? refusal(action.request) : platformAnswer(action.request);
-        measured(name, [&] { m_nodes[name]->onPlatformAnswer(now, action.id, reply); });
+            isUnavailable ? unavailableAnswer(action.request) : platformAnswer(action.request);
+        measureCpu(name, [&] { m_nodes[name]->onPlatformAnswer(now, action.id, reply); });
     });
 }
 
-void control_world::answerWatches()
+void control_simulation::answerWatches()
 {
     std::vector<pending_watch> waiting;
     for (const pending_watch &watch : std::exchange(m_watches, {})) {
         const object_changes changes = m_objects.changesSince(watch.prefix, watch.from);
-        const bool cut = platformOut || platformCut.contains(watch.node);
-        if (changes.changed.empty() && now < watch.deadline && !cut) {
+        const bool isUnavailable = isPlatformDown || nodesWithoutPlatform.contains(watch.node);
+        if (changes.changed.empty() && now < watch.deadline && !isUnavailable) {
             waiting.push_back(watch);
             continue;
         }
         if (!m_nodes.contains(watch.node))
             continue;
-        const result<object_changes> reply = cut
+        const result<object_changes> reply = isUnavailable
             ? result<object_changes>(failure(platform_errors::unavailable, "out"))
             : result<object_changes>(changes);
-        measured(watch.node, [&] { m_nodes[watch.node]->onPlatformAnswer(now, watch.id, reply); });
+        measureCpu(watch.node,
+                   [&] { m_nodes[watch.node]->onPlatformAnswer(now, watch.id, reply); });
     }
     m_watches.insert(m_watches.end(), waiting.begin(), waiting.end());
 }
--- a/libs/control/include/control/control_node.h
+++ b/libs/control/include/control/control_node.h
@@ -101,7 +101,7 @@
 ///     control_node node(options, now);
 ///     node.tick(now, wallMilliseconds());
 ///     for (control_action &action : node.takeActions())
-///         carryOut(std::move(action));
+///         execute(std::move(action));
 ///
 /// tick() must be called about every 10 ms and takeActions() after every event. Not thread-safe: it
 /// is owned by one control thread.
--- a/libs/control/tests/control_session_test.cpp
+++ b/libs/control/tests/control_session_test.cpp
@@ -1,4 +1,4 @@
-#include "../benchmarks/control_world.h"
+#include "../benchmarks/control_simulation.h"
 
 #include <cstdlib>
 #include <fstream>
@@ -26,9 +26,9 @@
 class simulated_session
 {
 public:
-    explicit simulated_session(std::uint64_t seed) : world(6, seed)
+    explicit simulated_session(std::uint64_t seed) : simulation(6, seed)
     {
-        world.onDecision = [this](const std::string &node, const request_decision &decision) {
+        simulation.onDecision = [this](const std::string &node, const request_decision &decision) {
             if (const refuse_decision *refusal = std::get_if<refuse_decision>(&decision.action))
                 logLine(node + " refuses " + std::to_string(decision.id) + ": " + refusal->code
                         + (refusal->mayHaveRun ? " unknown" : " not-run"));
@@ -39,7 +39,7 @@
 
     void logLine(const std::string &text)
     {
-        const std::int64_t ms = toMilliseconds(world.now.time_since_epoch()) - 1000000;
+        const std::int64_t ms = toMilliseconds(simulation.now.time_since_epoch()) - 1000000;
         m_log << ms / 1000 << "." << ms % 1000 / 100 << " " << text << "\n";
     }
 
@@ -47,15 +47,15 @@
     /// of its limit and the members that are alive.
     void logStates()
     {
-        for (const std::string &name : world.names()) {
-            if (world.frozen.contains(name))
+        for (const std::string &name : simulation.names()) {
+            if (simulation.pausedNodes.contains(name))
                 continue;
-            const Json::Value report = world.node(name).status(world.now);
+            const Json::Value report = simulation.node(name).status(simulation.now);
             std::string alive;
             for (const Json::Value &each : report["members"])
                 alive +=
                     each["state"].asString() == "alive" ? each["name"].asString().substr(3) : "";
-            const route_table &table = world.inForce(name).routes;
+            const route_table &table = simulation.activeConfiguration(name).routes;
             logLine(name + " rate "
                     + std::to_string(table.teams.empty() ? 0 : table.teams.front().rate) + " owner "
                     + report["limit_owners"]["reef"].asString() + " alive " + alive
@@ -65,13 +65,13 @@
 
     void sendRequest(const std::string &node, std::uint64_t id, double tokens)
     {
-        world.node(node).begin(world.now,
-                               {.id = id,
-                                .team = "reef",
-                                .route = "a",
-                                .pool = "p",
-                                .tokens = tokens,
-                                .body = digestOf(std::to_string(id))});
+        simulation.node(node).begin(simulation.now,
+                                    {.id = id,
+                                     .team = "reef",
+                                     .route = "a",
+                                     .pool = "p",
+                                     .tokens = tokens,
+                                     .body = digestOf(std::to_string(id))});
     }
 
     /// Compares the log with the golden file. Overwrites the file first if TREFOIL_WRITE_GOLDEN is
@@ -87,7 +87,7 @@
         EXPECT_EQ(m_log.str(), golden.str()) << name;
     }
 
-    control_world world;
+    control_simulation simulation;
 
 private:
     std::ostringstream m_log;
@@ -95,7 +95,9 @@
 
 std::string limitOwnerSeenBy(simulated_session &session, const std::string &node)
 {
-    return session.world.node(node).status(session.world.now)["limit_owners"]["reef"].asString();
+    return session.simulation.node(node)
+        .status(session.simulation.now)["limit_owners"]["reef"]
+        .asString();
 }
 
 } // namespace
@@ -103,33 +105,33 @@
 TEST(ControlSession, ConfigurationPropagatesThroughOutagesAndRestarts)
 {
     simulated_session session(1);
-    session.world.platformCut.insert("n1005");
-    session.world.apply(config_names::routes, routesWithRate(1000));
-    session.world.apply(config_names::pools, poolsTable);
-    session.world.run(seconds(8));
+    session.simulation.nodesWithoutPlatform.insert("n1005");
+    session.simulation.apply(config_names::routes, routesWithRate(1000));
+    session.simulation.apply(config_names::pools, poolsTable);
+    session.simulation.run(seconds(8));
     session.logLine("n1005 never reaches the platform; everything is up");
     session.logStates();
     session.logLine("rate 2000 is applied");
-    session.world.apply(config_names::routes, routesWithRate(2000));
-    session.world.run(seconds(5));
+    session.simulation.apply(config_names::routes, routesWithRate(2000));
+    session.simulation.run(seconds(5));
     session.logStates();
     session.logLine("a table with a fault is applied");
-    session.world.apply(config_names::routes, "teams: [{name: reef, rate: none}]\n");
-    session.world.run(seconds(5));
+    session.simulation.apply(config_names::routes, "teams: [{name: reef, rate: none}]\n");
+    session.simulation.run(seconds(5));
     session.logStates();
     session.logLine("the platform goes out; n1002 and n1005 restart");
-    session.world.platformOut = true;
-    session.world.kill("n1002");
-    session.world.kill("n1005");
-    session.world.run(seconds(1));
-    session.world.start("n1002");
-    session.world.start("n1005");
-    session.world.run(seconds(3));
+    session.simulation.isPlatformDown = true;
+    session.simulation.kill("n1002");
+    session.simulation.kill("n1005");
+    session.simulation.run(seconds(1));
+    session.simulation.start("n1002");
+    session.simulation.start("n1005");
+    session.simulation.run(seconds(3));
     session.logStates();
     session.logLine("the platform is back; rate 3000 is applied");
-    session.world.platformOut = false;
-    session.world.apply(config_names::routes, routesWithRate(3000));
-    session.world.run(seconds(8));
+    session.simulation.isPlatformDown = false;
+    session.simulation.apply(config_names::routes, routesWithRate(3000));
+    session.simulation.run(seconds(8));
     session.logStates();
     session.expectGolden("configuration");
 }
@@ -137,35 +139,36 @@
 TEST(ControlSession, LimitOwnershipMovesAfterCrashAndNetworkPartition)
 {
     simulated_session session(2);
-    session.world.apply(config_names::routes, routesWithRate(1000));
-    session.world.apply(config_names::pools, poolsTable);
-    session.world.run(seconds(10));
+    session.simulation.apply(config_names::routes, routesWithRate(1000));
+    session.simulation.apply(config_names::pools, poolsTable);
+    session.simulation.run(seconds(10));
     session.logStates();
     const std::string owner = limitOwnerSeenBy(session, "n1000");
     const std::string otherNode = owner == "n1000" ? "n1001" : "n1000";
     session.sendRequest(otherNode, 1, 500);
-    session.world.run(seconds(1));
+    session.simulation.run(seconds(1));
     session.logLine(owner + ", the owner, crashes");
-    session.world.kill(owner);
+    session.simulation.kill(owner);
     session.sendRequest(otherNode, 2, 500);
-    session.world.run(seconds(2));
+    session.simulation.run(seconds(2));
     session.sendRequest(otherNode, 3, 500);
     session.sendRequest(otherNode, 4, 9000);
-    session.world.run(seconds(10));
+    session.simulation.run(seconds(10));
     session.logStates();
     session.logLine("two instances are cut off from all others and from the platform");
-    std::vector<std::string> names = session.world.names();
+    std::vector<std::string> names = session.simulation.names();
     const std::set<std::string> isolatedNodes(names.begin(), names.begin() + 2);
-    session.world.platformCut = isolatedNodes;
-    session.world.link = [isolatedNodes](const std::string &from, const std::string &to) {
+    session.simulation.nodesWithoutPlatform = isolatedNodes;
+    session.simulation.isReachable = [isolatedNodes](const std::string &from,
+                                                     const std::string &to) {
         return isolatedNodes.contains(from) == isolatedNodes.contains(to);
     };
-    session.world.run(seconds(15));
+    session.simulation.run(seconds(15));
     session.logStates();
     session.logLine("they are back");
-    session.world.platformCut.clear();
-    session.world.link = [](const std::string &, const std::string &) { return true; };
-    session.world.run(seconds(60));
+    session.simulation.nodesWithoutPlatform.clear();
+    session.simulation.isReachable = [](const std::string &, const std::string &) { return true; };
+    session.simulation.run(seconds(60));
     session.logStates();
     session.expectGolden("owner_and_zone");
 }
@@ -177,41 +180,44 @@
 {
     for (std::uint64_t seed = 1; seed <= 8; ++seed) {
         std::mt19937_64 random(seed);
-        control_world world(6, seed);
-        world.apply(config_names::routes, routesWithRate(1));
-        world.apply(config_names::pools, poolsTable);
-        world.run(seconds(5));
+        control_simulation simulation(6, seed);
+        simulation.apply(config_names::routes, routesWithRate(1));
+        simulation.apply(config_names::pools, poolsTable);
+        simulation.run(seconds(5));
         std::map<std::string, std::uint64_t> highestVersion;
         int rate = 1;
         for (int round = 0; round < 12; ++round) {
-            const std::string firstNode = world.nameOf(static_cast<int>(random() % 6));
-            const std::string secondNode = world.nameOf(static_cast<int>(random() % 6));
-            world.frozen.clear();
-            world.platformCut = {firstNode};
-            world.platformOut = random() % 4 == 0;
+            const std::string firstNode = simulation.nameOf(static_cast<int>(random() % 6));
+            const std::string secondNode = simulation.nameOf(static_cast<int>(random() % 6));
+            simulation.pausedNodes.clear();
+            simulation.nodesWithoutPlatform = {firstNode};
+            simulation.isPlatformDown = random() % 4 == 0;
             if (random() % 2 == 0)
-                world.frozen.insert(secondNode);
-            world.link = [firstNode, secondNode](const std::string &from, const std::string &to) {
+                simulation.pausedNodes.insert(secondNode);
+            simulation.isReachable = [firstNode, secondNode](const std::string &from,
+                                                             const std::string &to) {
                 return !(from == firstNode && to == secondNode);
             };
-            if (!world.platformOut)
-                world.apply(config_names::routes, routesWithRate(++rate));
+            if (!simulation.isPlatformDown)
+                simulation.apply(config_names::routes, routesWithRate(++rate));
             for (int i = 0; i < 30; ++i) {
-                world.run(std::chrono::milliseconds(100));
-                for (const std::string &name : world.names()) {
-                    const std::uint64_t version = world.inForce(name).routesVersion;
+                simulation.run(std::chrono::milliseconds(100));
+                for (const std::string &name : simulation.names()) {
+                    const std::uint64_t version =
+                        simulation.activeConfiguration(name).routesVersion;
                     ASSERT_GE(version, highestVersion[name]) << name << " seed " << seed;
                     highestVersion[name] = version;
                 }
             }
         }
-        world.frozen.clear();
-        world.platformCut.clear();
-        world.platformOut = false;
-        world.link = [](const std::string &, const std::string &) { return true; };
-        world.run(seconds(10));
-        for (const std::string &name : world.names())
-            EXPECT_EQ(world.inForce(name).routes.teams.front().rate, rate) << name << " " << seed;
+        simulation.pausedNodes.clear();
+        simulation.nodesWithoutPlatform.clear();
+        simulation.isPlatformDown = false;
+        simulation.isReachable = [](const std::string &, const std::string &) { return true; };
+        simulation.run(seconds(10));
+        for (const std::string &name : simulation.names())
+            EXPECT_EQ(simulation.activeConfiguration(name).routes.teams.front().rate, rate)
+                << name << " " << seed;
     }
 }
 
