--- a/libs/control/src/control_node.cpp
+++ b/libs/control/src/control_node.cpp
@@ -181,10 +181,10 @@
 void control_node::updateConnectivity(timestamp now)
 {
     const bool isAlone = m_members.members().size() <= 1;
-    const bool hearsPeers =
+    const bool hasRecentPeerAnswer =
         isAlone || (m_lastPeerAnswer && now - *m_lastPeerAnswer <= isolationTimeout);
     const bool attached = m_platformReads.succeededWithin(now, isolationTimeout)
-        || (hearsPeers
+        || (hasRecentPeerAnswer
             && (seesMajority() || m_platformReads.succeededWithin(now, platformSilenceTimeout)));
     if (attached != m_snapshot.attached) {
         m_snapshot.attached = attached;
@@ -228,8 +228,8 @@
                          lease_write_context {.key = write->key});
         } else {
             const std::string &key = std::get<record_read>(action).key;
-            // Until the initial lists are loaded, they serve these reads with one call for all
-            // leases.
+            // No single reads before the initial lists are loaded: these return the records of all
+            // leases in one call per prefix.
             if (m_platformReads.hasLoadedAll())
                 callPlatform(platform_get {.name = key}, lease_read_context {.key = key});
         }
