--- a/libs/control/benchmarks/bench_capacity.cpp
+++ b/libs/control/benchmarks/bench_capacity.cpp
@@ -233,7 +233,7 @@
             for (const prefix_chain &chain : chains) {
                 const std::optional<placement_choice> choice =
                     pool.choose(now, {.chain = &chain, .zone = "a"});
-                pool.noteSent(now, choice->server, chain, choice->believedBlocks);
+                pool.noteSent(now, choice->server, chain, choice->estimatedCachedBlocks);
             }
         });
         const double allocated =
@@ -257,7 +257,7 @@
         for (int i = 0; i < blocks; ++i)
             digests.push_back(digestOf(std::to_string(i)));
         const double before = heapBytes();
-        cache_belief belief("v1", 1);
+        cache_estimate belief("v1", 1);
         const timestamp now {std::chrono::seconds(100)};
         const double seconds = secondsOf([&] {
             for (int i = 0; i < blocks; ++i)
--- a/libs/control/include/control/traffic_desk.h
+++ b/libs/control/include/control/traffic_desk.h
@@ -19,7 +19,7 @@
 #include <limits/limit_node.h>
 #include <rollout/evidence.h>
 #include <rollout/rollout_driver.h>
-#include <routing/crash_ledger.h>
+#include <routing/crash_tracker.h>
 #include <routing/placement.h>
 
 namespace trefoil {
@@ -92,7 +92,7 @@
     std::string version;
     /// Names the attempt; unique among all of this instance.
     std::uint64_t attempt = 0;
-    std::size_t believedBlocks = 0;
+    std::size_t estimatedCachedBlocks = 0;
 };
 struct traffic_refuse
 {
@@ -256,7 +256,7 @@
     std::map<std::string, rollout_record, std::less<>> m_rollouts;
     std::map<std::string, evidence> m_evidence;
     std::map<evidence_key, outcome_counts> m_outcomes;
-    crash_ledger m_crashes;
+    crash_tracker m_crashes;
     std::map<std::uint64_t, request_state> m_requests;
     std::vector<traffic_decision> m_decisions;
     std::vector<claim_call> m_claimCalls;
--- a/libs/control/src/traffic_desk.cpp
+++ b/libs/control/src/traffic_desk.cpp
@@ -227,7 +227,7 @@
     }
     // Checked before the claim, which can't be taken back once it is made.
     const auto pool = m_pools.find(state.begin.pool);
-    if (pool == m_pools.end() || pool->second.usable(now).empty()) {
+    if (pool == m_pools.end() || pool->second.availableServers(now).empty()) {
         refuse(now, state,
                {.status = 503,
                 .code = "no-server",
@@ -375,19 +375,20 @@
     const auto server =
         std::find_if(table->servers.begin(), table->servers.end(),
                      [&](const backend_server &s) { return s.name == choice->server; });
-    pool->second.noteSent(now, choice->server, state.begin.chain, choice->believedBlocks);
+    pool->second.noteSent(now, choice->server, state.begin.chain, choice->estimatedCachedBlocks);
     state.at = stage::Sent;
     state.choice = choice;
     state.sentAt = now;
     state.firstToken = false;
     ++state.attempts;
-    m_decisions.push_back({.id = state.begin.id,
-                           .what = traffic_go {.server = choice->server,
-                                               .address = server->address,
-                                               .version = choice->version,
-                                               .attempt = m_nextAttempt++,
-                                               .believedBlocks = choice->believedBlocks},
-                           .validUntil = now + decisionLife});
+    m_decisions.push_back(
+        {.id = state.begin.id,
+         .what = traffic_go {.server = choice->server,
+                             .address = server->address,
+                             .version = choice->version,
+                             .attempt = m_nextAttempt++,
+                             .estimatedCachedBlocks = choice->estimatedCachedBlocks},
+         .validUntil = now + decisionLife});
 }
 
 void traffic_desk::refuse(timestamp now, request_state &state, traffic_refuse refusal)
@@ -416,7 +417,7 @@
     const auto pool = m_pools.find(state->begin.pool);
     if (pool != m_pools.end())
         pool->second.noteFirstToken(now, state->choice->server, state->begin.chain,
-                                    state->choice->believedBlocks, report.cachedTokens);
+                                    state->choice->estimatedCachedBlocks, report.cachedTokens);
     const double seconds = toSeconds(now - state->sentAt);
     const double expected = std::max(0.0, state->choice->expectedSeconds);
     const bool slow = seconds > slowFactor * expected + slowSeconds;
@@ -442,7 +443,8 @@
     const auto pool = m_pools.find(state->begin.pool);
     if (pool != m_pools.end()) {
         if (!state->firstToken)
-            pool->second.noteAborted(server, state->begin.chain, state->choice->believedBlocks);
+            pool->second.noteAborted(server, state->begin.chain,
+                                     state->choice->estimatedCachedBlocks);
         if (meansServerIsDown(report.kind))
             pool->second.setDown(server, now + downTime);
     }
@@ -497,7 +499,7 @@
     const auto pool = m_pools.find(state->begin.pool);
     if (state->choice && !state->firstToken && pool != m_pools.end()) {
         pool->second.noteAborted(state->choice->server, state->begin.chain,
-                                 state->choice->believedBlocks);
+                                 state->choice->estimatedCachedBlocks);
         if (report.answered)
             noteOutcome(*state, false, false);
     }
--- a/libs/routing/benchmarks/bench_routing.cpp
+++ b/libs/routing/benchmarks/bench_routing.cpp
@@ -1,4 +1,4 @@
-#include "routing_world.h"
+#include "routing_simulation.h"
 
 #include <array>
 
@@ -6,34 +6,35 @@
 
 using namespace trefoil;
 
-/// Compares ways to place requests, from one fixed seed, in virtual time.
+/// Compares routing strategies in a simulation with a fixed seed.
 int main(int argc, char **argv)
 {
-    struct named_way
+    struct named_strategy
     {
-        routing_way way;
+        routing_strategy strategy;
         const char *name;
     };
-    constexpr std::array<named_way, 8> ways {
-        {{routing_way::Random, "random"},
-         {routing_way::RoundRobin, "round robin"},
-         {routing_way::LeastLoaded, "least loaded"},
-         {routing_way::ConsistentHash, "consistent hashing"},
-         {routing_way::PlacementWithoutBelief, "placement without belief"},
-         {routing_way::PlacementWithoutHomes, "placement without homes"},
-         {routing_way::Placement, "placement"},
-         {routing_way::Oracle, "oracle"}}};
+    constexpr std::array<named_strategy, 8> strategies {
+        {{routing_strategy::Random, "random"},
+         {routing_strategy::RoundRobin, "round robin"},
+         {routing_strategy::LeastLoaded, "least loaded"},
+         {routing_strategy::ConsistentHash, "consistent hashing"},
+         {routing_strategy::PlacementWithoutCacheEstimate, "placement without cache estimate"},
+         {routing_strategy::PlacementWithoutRendezvousPrior, "placement without rendezvous prior"},
+         {routing_strategy::Placement, "placement"},
+         {routing_strategy::Oracle, "oracle"}}};
     std::vector<report_table> tables;
     for (const routing_scenario &scenario : routingScenarios()) {
         report_table table(scenario.name,
-                           {"way", "hit rate %", "first token p50 ms", "first token p99 ms",
-                            "wasted recomputation %", "requests"});
-        for (const named_way &each : ways) {
-            const routing_figures figures = routing_world(each.way, scenario, 1).run();
-            table.add({each.name, formatNumber(figures.hitRate * 100, 1),
-                       formatNumber(figures.firstTokenP50 * 1000, 0),
-                       formatNumber(figures.firstTokenP99 * 1000, 0),
-                       formatNumber(figures.wasted * 100, 1), std::to_string(figures.requests)});
+                           {"strategy", "hit rate %", "first token p50 ms", "first token p99 ms",
+                            "avoidable recomputation %", "requests"});
+        for (const named_strategy &each : strategies) {
+            const routing_results results = routing_simulation(each.strategy, scenario, 1).run();
+            table.add({each.name, formatNumber(results.hitRate * 100, 1),
+                       formatNumber(results.firstTokenP50 * 1000, 0),
+                       formatNumber(results.firstTokenP99 * 1000, 0),
+                       formatNumber(results.avoidableRecomputation * 100, 1),
+                       std::to_string(results.requests)});
         }
         tables.push_back(table);
     }
--- /dev/null
+++ b/libs/routing/include/routing/crash_tracker.h
@@ -0,0 +1,39 @@
+#pragma once
+
+#include <cstdint>
+#include <map>
+#include <set>
+#include <string>
+
+#include <core/clock.h>
+#include <core/digest.h>
+
+namespace trefoil {
+
+/// Finds requests that crash backend servers. A request that was in flight on two servers when they
+/// crashed is refused, whoever sends it again, until its record expires. Not thread-safe.
+class crash_tracker
+{
+public:
+    /// Number of crashes after which a request is refused.
+    static constexpr std::size_t crashLimit = 2;
+
+    /// Records that a server crashed while the request with @p requestDigest ran on it. @p event
+    /// identifies the crash: a crash reported twice counts once.
+    void note(timestamp now, digest128 requestDigest, const std::string &event);
+    /// Returns whether the request with @p requestDigest is refused at @p now.
+    bool isRefused(timestamp now, digest128 requestDigest) const;
+    /// Returns the number of requests recorded, including expired ones not yet removed.
+    std::size_t size() const { return m_records.size(); }
+
+private:
+    struct crash_record
+    {
+        std::set<std::string> events;
+        timestamp lastCrash;
+    };
+
+    std::map<digest128, crash_record> m_records;
+};
+
+} // namespace trefoil
--- a/libs/routing/include/routing/placement.h
+++ b/libs/routing/include/routing/placement.h
@@ -11,31 +11,31 @@
 #include <vector>
 
 #include <core/clock.h>
-#include <routing/cache_belief.h>
+#include <routing/cache_estimate.h>
 #include <routing/prefix_chain.h>
 
 namespace trefoil {
 
-/// A backend server as placement needs it.
+/// A backend server that requests can be placed on.
 struct placement_server
 {
     std::string name;
     std::string zone;
     std::string version;
-    /// Whether it is about to leave and gets no new work.
+    /// Whether it is shutting down and takes no new requests.
     bool leaving = false;
 };
 
-/// What a backend server says of its load; late by the time it arrives.
+/// A backend server's report of its load. It is out of date by its transmission delay.
 struct load_report
 {
     std::uint64_t incarnation = 0;
-    /// Requests running and waiting.
+    /// Number of requests that run and that wait.
     int running = 0;
     int queued = 0;
-    /// Tokens of prompts that wait to be computed.
+    /// Prompt tokens that wait for prefill.
     double queuedTokens = 0;
-    /// Prompt tokens computed a second when busy; 0 where it is not known.
+    /// Prompt tokens per second that a busy server computes; 0 if unknown.
     double prefillRate = 0;
 };
 
@@ -43,22 +43,22 @@
 struct placement_request
 {
     const prefix_chain *chain = nullptr;
-    /// Zone of the instance that sends it.
+    /// Zone of the instance that places the request.
     std::string_view zone;
-    /// Servers that failed this request already.
+    /// Servers that must not be chosen, because they already failed this request.
     std::vector<std::string> excluded;
-    /// Version that the request is to run on; empty for any.
+    /// Weights version that the request must run on; empty for any.
     std::string_view version;
 };
 
-/// Where a request goes.
+/// The server chosen for a request.
 struct placement_choice
 {
     std::string server;
     std::string version;
-    /// Leading blocks believed to be cached there.
-    std::size_t believedBlocks = 0;
-    /// Expected seconds to the first token.
+    /// Leading blocks of the prompt estimated to be in its cache.
+    std::size_t estimatedCachedBlocks = 0;
+    /// Expected time to the first token, in seconds.
     double expectedSeconds = 0;
 };
 
@@ -66,87 +66,88 @@
 struct placement_options
 {
     std::uint64_t randomSeed = 0;
-    /// Prompt tokens a second assumed until a server reports its rate.
+    /// Prompt tokens per second assumed until a server reports its rate.
     double prefillRate = 16000;
-    /// Weight of the time for computing what is missing against the time in the queue:
-    /// recomputation also delays everyone who comes after. It rises with the mean queue; see
-    /// placement.cpp.
+    /// Weight of the prefill time of uncached tokens relative to the queue time, because
+    /// recomputation also delays later requests. The effective weight rises with the mean queue;
+    /// see effectiveRecomputeWeight().
     double recomputeWeight = 1;
-    /// Cost of leaving the instance's zone, in seconds.
-    double otherZoneSeconds = 0.003;
-    /// Ways that are switched off by the benchmark to measure what each brings.
-    bool useBelief = true;
-    bool useHomes = true;
+    /// Cost in seconds of a server outside the instance's zone.
+    double crossZoneSeconds = 0.003;
+    /// Parts of the cost model that the benchmark switches off to measure their effect.
+    bool useCacheEstimate = true;
+    bool useRendezvousPrior = true;
 };
 
-/// Picks the backend server of least expected time to the first token: the wait in its queue plus
-/// the computation of what its cache is not believed to hold. Not thread-safe.
+/// Picks the backend server with the lowest expected time to the first token: its queue time plus
+/// the prefill time of the prompt tokens that are not estimated to be cached. Not thread-safe.
 ///
 ///     placement pool({ .randomSeed = 1 });
 ///     pool.setServers(servers);
 ///     std::optional<placement_choice> choice = pool.choose(now, { .chain = &chain });
-///     pool.noteSent(now, choice->server, chain);
-///     pool.noteEnd(now, choice->server, ...);
+///     pool.noteSent(now, choice->server, chain, choice->estimatedCachedBlocks);
+///     pool.noteFirstToken(now, choice->server, ...);  // or noteAborted()
 class placement
 {
 public:
     explicit placement(const placement_options &options);
 
-    /// Replaces the servers; belief about those that stay is kept.
+    /// Replaces the servers. The state of servers that remain is kept.
     void setServers(const std::vector<placement_server> &servers);
-    /// Marks @p server as failing until @p until: it is chosen only if no other is left.
+    /// Marks @p server as down until @p until: it is chosen only if no other server is eligible.
     void setDown(std::string_view server, timestamp until);
 
-    /// Returns the best server, or nothing where every one is excluded or leaving.
+    /// Returns the best server, or nothing if all are excluded, leaving or of another version.
     std::optional<placement_choice> choose(timestamp now, const placement_request &request);
 
-    /// Notes that a request was sent to @p server.
+    /// Records that a request was sent to @p server.
     void noteSent(timestamp now, std::string_view server, const prefix_chain &chain,
-                  std::size_t believedBlocks);
-    /// Notes that the first token came: the prompt is computed, and @p cachedTokens of it had been
-    /// cached; negative where the server did not say.
+                  std::size_t estimatedCachedBlocks);
+    /// Records the first token of a request: its prefill is done, and @p cachedTokens of the prompt
+    /// had been cached; negative if the server did not report it.
     void noteFirstToken(timestamp now, std::string_view server, const prefix_chain &chain,
-                        std::size_t believedBlocks, double cachedTokens);
-    /// Notes that a request that had been sent is over before its first token came.
+                        std::size_t estimatedCachedBlocks, double cachedTokens);
+    /// Records that a request ended before its first token.
     void noteAborted(std::string_view server, const prefix_chain &chain,
-                     std::size_t believedBlocks);
-    /// Takes a load report.
+                     std::size_t estimatedCachedBlocks);
+    /// Applies a load report.
     void noteLoad(timestamp now, std::string_view server, const load_report &report);
-    /// Takes cache events; see cache_belief::noteEvents().
+    /// Applies cache events; see cache_estimate::noteEvents().
     void noteEvents(timestamp now, std::string_view server, std::uint64_t incarnation,
                     std::uint64_t sequence, std::span<const digest128> stored,
                     std::span<const digest128> evicted);
 
-    /// Returns the names of servers that take new work.
-    std::vector<std::string> usable(timestamp now) const;
+    /// Returns the names of the servers that are neither leaving nor down.
+    std::vector<std::string> availableServers(timestamp now) const;
 
 private:
     struct server_state
     {
         placement_server server;
-        cache_belief belief {"", 0};
+        cache_estimate cacheEstimate {"", 0};
         std::uint64_t incarnation = 0;
         double prefillRate = 0;
-        /// Prompt tokens estimated to wait at backlogAt: reported, and sent by this instance since.
-        double backlog = 0;
-        timestamp backlogAt;
-        /// Prompt tokens of this instance's requests that have no first token yet.
-        double waitingTokens = 0;
+        /// Prompt tokens waiting for prefill as of backlogUpdatedAt: the last reported number plus
+        /// what this instance has sent since.
+        double backlogTokens = 0;
+        timestamp backlogUpdatedAt;
+        /// Uncached prompt tokens of this instance's requests that have no first token yet.
+        double pendingPrefillTokens = 0;
         timestamp downUntil;
     };
 
     double queueSeconds(timestamp now, const server_state &state) const;
-    double backlogAt(timestamp now, const server_state &state) const;
+    double currentBacklogTokens(timestamp now, const server_state &state) const;
     double expectedSeconds(timestamp now, const server_state &state, const prefix_chain &chain,
-                           double heldBlocks) const;
+                           double cachedBlocks) const;
     double cost(timestamp now, const server_state &state, const placement_request &request,
-                double heldBlocks, double recomputeWeight) const;
-    double weightUnderLoad(timestamp now) const;
-    std::size_t believedDepth(timestamp now, const server_state &state,
-                              const prefix_chain &chain) const;
-    std::vector<std::string_view> homesOf(digest128 block) const;
-    double rateOf(const server_state &state) const;
-    bool mayTake(const server_state &state, const placement_request &request) const;
+                double cachedBlocks, double recomputeWeight) const;
+    double effectiveRecomputeWeight(timestamp now) const;
+    std::size_t estimateCachedBlocks(timestamp now, const server_state &state,
+                                     const prefix_chain &chain) const;
+    std::vector<std::string_view> rendezvousRanking(digest128 block) const;
+    double prefillRateOf(const server_state &state) const;
+    bool isEligible(const server_state &state, const placement_request &request) const;
 
     placement_options m_options;
     std::mt19937_64 m_random;
--- a/libs/routing/include/routing/prefix_chain.h
+++ b/libs/routing/include/routing/prefix_chain.h
@@ -7,14 +7,13 @@
 
 namespace trefoil {
 
-/// Tokens of one cached block on the engines.
+/// Tokens of one block of the engines' prefix cache.
 constexpr double blockTokens = 4000;
 
-/// Mean bytes of prompt text for a token. Used to estimate tokens before an engine has counted
-/// them.
+/// Mean bytes of prompt text per token, used to estimate tokens before an engine has counted them.
 constexpr double bytesPerToken = 4;
 
-/// Digests of a prompt's blocks, each chained to all before it.
+/// Digests of a prompt's blocks. Each digest covers its block and all blocks before it.
 struct prefix_chain
 {
     /// One digest for each whole block. Two prompts share the digest at depth i only if they have
@@ -24,18 +23,18 @@
     double tokens = 0;
 };
 
-/// Builds a chain from the pieces of a prompt without joining them.
+/// Builds a chain from the parts of a prompt without concatenating them.
 ///
 ///     prefix_chain_builder builder("reef", "terms-7b");
 ///     builder.add(systemMessage);
 ///     builder.add(userMessage);
 ///     prefix_chain chain = builder.finish();
 ///
-/// Not thread-safe. Bytes are hashed in place except where a block spans two pieces.
+/// Text is hashed in place, without copies. Not thread-safe.
 class prefix_chain_builder
 {
 public:
-    /// Seeds the chain with @p team and @p model.
+    /// Starts a chain for prompts of @p team to @p model.
     prefix_chain_builder(std::string_view team, std::string_view model);
 
     /// Appends @p text to the prompt. The text must not change until finish().
@@ -53,8 +52,9 @@
     std::vector<digest128> m_blocks;
 };
 
-/// Identifies a block in one worker's cache: differs for each weights version and each incarnation
-/// of the worker, so that no belief outlives either. Thread-safe.
+/// Returns the key of a block in the cache estimate of one backend server. It differs for each
+/// weights version and each incarnation of the server, so that no entry matches after a change of
+/// either. Thread-safe.
 digest128 cacheKey(digest128 block, std::string_view version, std::uint64_t incarnation);
 
 } // namespace trefoil
--- a/libs/routing/src/placement.cpp
+++ b/libs/routing/src/placement.cpp
@@ -9,24 +9,27 @@
 
 namespace {
 
-/// Share of a prompt's blocks that the first home is taken to hold although this instance does not
-/// know of them: another instance has probably sent them there. Less for each home further on.
-constexpr double homeConfidence = 0.5;
-constexpr double homeDecay = 0.6;
+/// Share of the blocks missing from the cache estimate that the first server in rendezvous order is
+/// assumed to hold, because other instances have probably sent them there. Each later server in the
+/// order is assumed to hold rendezvousPriorDecay times the share of the server before it.
+constexpr double rendezvousPrior = 0.5;
+constexpr double rendezvousPriorDecay = 0.6;
 
-/// Each second of the mean queue, up to so many, adds this part of the weight of recomputation.
-constexpr double maxPressureSeconds = 10;
-constexpr double pressureFactor = 1.0;
+/// Each second of the mean queue raises the recomputation weight by recomputeWeightPerQueueSecond
+/// times its base value. At most maxCountedQueueSeconds of each server's queue count.
+constexpr double maxCountedQueueSeconds = 10;
+constexpr double recomputeWeightPerQueueSecond = 1.0;
 
-/// Costs closer than this are a tie, broken at random so that instances don't herd.
-constexpr double tieSeconds = 0.002;
+/// Costs that differ by less count as equal. Ties are broken at random, so that instances don't all
+/// choose the same server.
+constexpr double tieToleranceSeconds = 0.002;
 
-/// A server marked down costs this much more, so that it is the last choice.
-constexpr double downSeconds = 1000;
+/// Cost added for a server marked down, so that it is the last choice.
+constexpr double downPenaltySeconds = 1000;
 
-double missingTokens(const prefix_chain &chain, double believedBlocks)
+double uncachedTokens(const prefix_chain &chain, double cachedBlocks)
 {
-    return std::max(0.0, chain.tokens - believedBlocks * blockTokens);
+    return std::max(0.0, chain.tokens - cachedBlocks * blockTokens);
 }
 
 } // namespace
@@ -42,7 +45,7 @@
         const auto found = m_servers.find(each.name);
         server_state state = found == m_servers.end() ? server_state {} : std::move(found->second);
         state.server = each;
-        state.belief.setIdentity(each.version, state.incarnation);
+        state.cacheEstimate.setIdentity(each.version, state.incarnation);
         next.emplace(each.name, std::move(state));
     }
     m_servers = std::move(next);
@@ -55,7 +58,7 @@
         found->second.downUntil = until;
 }
 
-bool placement::mayTake(const server_state &state, const placement_request &request) const
+bool placement::isEligible(const server_state &state, const placement_request &request) const
 {
     const std::vector<std::string> &excluded = request.excluded;
     return !state.server.leaving
@@ -63,107 +66,111 @@
         && std::find(excluded.begin(), excluded.end(), state.server.name) == excluded.end();
 }
 
-double placement::rateOf(const server_state &state) const
+double placement::prefillRateOf(const server_state &state) const
 {
     return state.prefillRate > 0 ? state.prefillRate : m_options.prefillRate;
 }
 
-double placement::backlogAt(timestamp now, const server_state &state) const
+double placement::currentBacklogTokens(timestamp now, const server_state &state) const
 {
-    return std::max(0.0, state.backlog - toSeconds(now - state.backlogAt) * rateOf(state));
+    return std::max(
+        0.0, state.backlogTokens - toSeconds(now - state.backlogUpdatedAt) * prefillRateOf(state));
 }
 
 double placement::queueSeconds(timestamp now, const server_state &state) const
 {
-    double tokens = backlogAt(now, state);
-    // Requests of this instance without a first token are still there, whatever was estimated.
-    tokens = std::max(tokens, state.waitingTokens);
-    return tokens / rateOf(state);
+    double tokens = currentBacklogTokens(now, state);
+    // This instance's requests without a first token still wait, even if the estimate has decayed.
+    tokens = std::max(tokens, state.pendingPrefillTokens);
+    return tokens / prefillRateOf(state);
 }
 
 double placement::expectedSeconds(timestamp now, const server_state &state,
-                                  const prefix_chain &chain, double heldBlocks) const
+                                  const prefix_chain &chain, double cachedBlocks) const
 {
-    return queueSeconds(now, state) + missingTokens(chain, heldBlocks) / rateOf(state);
+    return queueSeconds(now, state) + uncachedTokens(chain, cachedBlocks) / prefillRateOf(state);
 }
 
 double placement::cost(timestamp now, const server_state &state, const placement_request &request,
-                       double heldBlocks, double recomputeWeight) const
+                       double cachedBlocks, double recomputeWeight) const
 {
     double seconds = queueSeconds(now, state);
-    const double missing = missingTokens(*request.chain, heldBlocks);
-    seconds += recomputeWeight * missing / rateOf(state);
+    const double uncached = uncachedTokens(*request.chain, cachedBlocks);
+    seconds += recomputeWeight * uncached / prefillRateOf(state);
     if (state.server.zone != request.zone)
-        seconds += m_options.otherZoneSeconds;
+        seconds += m_options.crossZoneSeconds;
     if (now < state.downUntil)
-        seconds += downSeconds;
+        seconds += downPenaltySeconds;
     return seconds;
 }
 
-double placement::weightUnderLoad(timestamp now) const
+double placement::effectiveRecomputeWeight(timestamp now) const
 {
-    // With every queue long, moving to a shorter one costs the pool more than it saves the request:
-    // the recomputation makes all queues longer, and the next requests move again. Without this the
-    // pool does not recover from a moment of overload.
+    // When all queues are long, sending a request to a shorter queue without its prefix costs the
+    // pool more than it saves the request: the recomputation lengthens the queues, which moves
+    // further requests. With a fixed weight the pool does not recover from a short overload.
     double sum = 0;
     for (auto it = m_servers.begin(); it != m_servers.end(); ++it)
-        sum += std::min(queueSeconds(now, it->second), maxPressureSeconds);
+        sum += std::min(queueSeconds(now, it->second), maxCountedQueueSeconds);
     const double mean = sum / static_cast<double>(std::max<std::size_t>(1, m_servers.size()));
-    return m_options.recomputeWeight * (1 + mean * pressureFactor);
+    return m_options.recomputeWeight * (1 + mean * recomputeWeightPerQueueSecond);
 }
 
-std::size_t placement::believedDepth(timestamp now, const server_state &state,
-                                     const prefix_chain &chain) const
+std::size_t placement::estimateCachedBlocks(timestamp now, const server_state &state,
+                                            const prefix_chain &chain) const
 {
-    return m_options.useBelief ? state.belief.depth(now, chain.blocks) : 0;
+    return m_options.useCacheEstimate ? state.cacheEstimate.cachedPrefixLength(now, chain.blocks)
+                                      : 0;
 }
 
-std::vector<std::string_view> placement::homesOf(digest128 block) const
+std::vector<std::string_view> placement::rendezvousRanking(digest128 block) const
 {
     const std::string key = toHex(block);
     std::vector<std::pair<std::uint64_t, std::string_view>> weighted;
     for (auto it = m_servers.begin(); it != m_servers.end(); ++it)
         weighted.emplace_back(rendezvousWeight(key, it->first), it->first);
     std::sort(weighted.rbegin(), weighted.rend());
-    std::vector<std::string_view> homes;
+    std::vector<std::string_view> ranking;
     for (const std::pair<std::uint64_t, std::string_view> &each : weighted)
-        homes.push_back(each.second);
-    return homes;
+        ranking.push_back(each.second);
+    return ranking;
 }
 
 std::optional<placement_choice> placement::choose(timestamp now, const placement_request &request)
 {
     const prefix_chain &chain = *request.chain;
-    // Every instance computes the same order of homes, so that the copies of a prefix which is too
-    // hot for one server gather on the same few, and all instances know where to look first.
-    std::map<std::string_view, double> confidence;
-    if (m_options.useHomes && !chain.blocks.empty()) {
-        double share = homeConfidence;
-        for (const std::string_view home : homesOf(chain.blocks.front())) {
-            confidence[home] = share;
-            share *= homeDecay;
+    // Every instance computes the same rendezvous order for a prefix. A prefix too popular for one
+    // server is thus cached on the same few servers, and all instances prefer these.
+    std::map<std::string_view, double> priorCachedShare;
+    if (m_options.useRendezvousPrior && !chain.blocks.empty()) {
+        double share = rendezvousPrior;
+        for (const std::string_view server : rendezvousRanking(chain.blocks.front())) {
+            priorCachedShare[server] = share;
+            share *= rendezvousPriorDecay;
         }
     }
-    const double weight = weightUnderLoad(now);
+    const double recomputeWeight = effectiveRecomputeWeight(now);
     std::vector<placement_choice> ties;
-    double least = std::numeric_limits<double>::infinity();
+    double lowestCost = std::numeric_limits<double>::infinity();
     for (auto it = m_servers.begin(); it != m_servers.end(); ++it) {
         const server_state &state = it->second;
-        if (!mayTake(state, request))
+        if (!isEligible(state, request))
             continue;
-        const std::size_t believed = believedDepth(now, state, chain);
-        const double unknown = static_cast<double>(chain.blocks.size() - believed);
-        const double held = static_cast<double>(believed) + unknown * confidence[it->first];
-        const double seconds = cost(now, state, request, held, weight);
-        if (seconds > least + tieSeconds)
+        const std::size_t estimated = estimateCachedBlocks(now, state, chain);
+        const double otherBlocks = static_cast<double>(chain.blocks.size() - estimated);
+        const double expectedCachedBlocks =
+            static_cast<double>(estimated) + otherBlocks * priorCachedShare[it->first];
+        const double seconds = cost(now, state, request, expectedCachedBlocks, recomputeWeight);
+        if (seconds > lowestCost + tieToleranceSeconds)
             continue;
-        if (seconds < least - tieSeconds)
+        if (seconds < lowestCost - tieToleranceSeconds)
             ties.clear();
-        least = std::min(least, seconds);
-        ties.push_back({.server = it->first,
-                        .version = state.server.version,
-                        .believedBlocks = believed,
-                        .expectedSeconds = expectedSeconds(now, state, chain, held)});
+        lowestCost = std::min(lowestCost, seconds);
+        ties.push_back(
+            {.server = it->first,
+             .version = state.server.version,
+             .estimatedCachedBlocks = estimated,
+             .expectedSeconds = expectedSeconds(now, state, chain, expectedCachedBlocks)});
     }
     if (ties.empty())
         return std::nullopt;
@@ -171,39 +178,40 @@
 }
 
 void placement::noteSent(timestamp now, std::string_view server, const prefix_chain &chain,
-                         std::size_t believedBlocks)
+                         std::size_t estimatedCachedBlocks)
 {
     const auto found = m_servers.find(server);
     if (found == m_servers.end())
         return;
     server_state &state = found->second;
-    const double work = missingTokens(chain, static_cast<double>(believedBlocks));
-    state.backlog = backlogAt(now, state);
-    state.backlog += work;
-    state.backlogAt = now;
-    state.waitingTokens += work;
-    state.belief.noteSent(now, chain.blocks);
+    const double uncached = uncachedTokens(chain, static_cast<double>(estimatedCachedBlocks));
+    state.backlogTokens = currentBacklogTokens(now, state);
+    state.backlogTokens += uncached;
+    state.backlogUpdatedAt = now;
+    state.pendingPrefillTokens += uncached;
+    state.cacheEstimate.noteSent(now, chain.blocks);
 }
 
 void placement::noteFirstToken(timestamp now, std::string_view server, const prefix_chain &chain,
-                               std::size_t believedBlocks, double cachedTokens)
+                               std::size_t estimatedCachedBlocks, double cachedTokens)
 {
-    noteAborted(server, chain, believedBlocks);
+    noteAborted(server, chain, estimatedCachedBlocks);
     const auto found = m_servers.find(server);
     if (found == m_servers.end() || cachedTokens < 0)
         return;
     const std::size_t cached = static_cast<std::size_t>(cachedTokens / blockTokens + 0.5);
-    found->second.belief.noteAnswer(now, chain.blocks, cached, believedBlocks);
+    found->second.cacheEstimate.noteCacheHits(now, chain.blocks, cached, estimatedCachedBlocks);
 }
 
 void placement::noteAborted(std::string_view server, const prefix_chain &chain,
-                            std::size_t believedBlocks)
+                            std::size_t estimatedCachedBlocks)
 {
     const auto found = m_servers.find(server);
     if (found == m_servers.end())
         return;
-    const double work = missingTokens(chain, static_cast<double>(believedBlocks));
-    found->second.waitingTokens = std::max(0.0, found->second.waitingTokens - work);
+    const double uncached = uncachedTokens(chain, static_cast<double>(estimatedCachedBlocks));
+    found->second.pendingPrefillTokens =
+        std::max(0.0, found->second.pendingPrefillTokens - uncached);
 }
 
 void placement::noteLoad(timestamp now, std::string_view server, const load_report &report)
@@ -214,10 +222,10 @@
     server_state &state = found->second;
     if (report.incarnation != state.incarnation) {
         state.incarnation = report.incarnation;
-        state.belief.setIdentity(state.server.version, report.incarnation);
+        state.cacheEstimate.setIdentity(state.server.version, report.incarnation);
     }
-    state.backlog = report.queuedTokens;
-    state.backlogAt = now;
+    state.backlogTokens = report.queuedTokens;
+    state.backlogUpdatedAt = now;
     if (report.prefillRate > 0)
         state.prefillRate = report.prefillRate;
 }
@@ -232,12 +240,12 @@
     server_state &state = found->second;
     if (incarnation != state.incarnation) {
         state.incarnation = incarnation;
-        state.belief.setIdentity(state.server.version, incarnation);
+        state.cacheEstimate.setIdentity(state.server.version, incarnation);
     }
-    state.belief.noteEvents(now, sequence, stored, evicted);
+    state.cacheEstimate.noteEvents(now, sequence, stored, evicted);
 }
 
-std::vector<std::string> placement::usable(timestamp now) const
+std::vector<std::string> placement::availableServers(timestamp now) const
 {
     std::vector<std::string> names;
     for (auto it = m_servers.begin(); it != m_servers.end(); ++it) {
--- a/libs/routing/src/prefix_chain.cpp
+++ b/libs/routing/src/prefix_chain.cpp
@@ -19,12 +19,12 @@
 {
     m_bytes += text.size();
     while (!text.empty()) {
-        const std::size_t part = std::min(text.size(), blockBytes - m_partialBytes);
+        const std::size_t length = std::min(text.size(), blockBytes - m_partialBytes);
         // The length of what came before is implied by the chain, except inside a block, where the
         // boundaries of pieces would otherwise be invisible.
-        m_partial = digestOf(text.substr(0, part), m_partial);
-        m_partialBytes += part;
-        text.remove_prefix(part);
+        m_partial = digestOf(text.substr(0, length), m_partial);
+        m_partialBytes += length;
+        text.remove_prefix(length);
         if (m_partialBytes == blockBytes)
             closeBlock();
     }
--- a/libs/routing/tests/placement_test.cpp
+++ b/libs/routing/tests/placement_test.cpp
@@ -24,7 +24,7 @@
 
 } // namespace
 
-TEST(Placement, ReturnsToTheServerThatHoldsThePrefix)
+TEST(Placement, PrefersServerWithCachedPrefix)
 {
     placement pool({.randomSeed = 1});
     pool.setServers(threeServers());
@@ -35,10 +35,10 @@
     const std::optional<placement_choice> again =
         pool.choose(now + std::chrono::seconds(1), {.chain = &chain});
     EXPECT_EQ(again->server, first);
-    EXPECT_EQ(again->believedBlocks, 4u);
+    EXPECT_EQ(again->estimatedCachedBlocks, 4u);
 }
 
-TEST(Placement, LeavesAHolderWhoseQueueCostsMoreThanComputingAnew)
+TEST(Placement, AvoidsCachedServerWhenQueueOutweighsRecomputation)
 {
     placement pool({.randomSeed = 1});
     pool.setServers(threeServers());
@@ -50,7 +50,7 @@
     EXPECT_NE(pool.choose(now, {.chain = &chain})->server, first);
 }
 
-TEST(Placement, NeverPicksALeavingExcludedOrOtherVersionsServer)
+TEST(Placement, SkipsLeavingExcludedAndOtherVersionServers)
 {
     placement pool({.randomSeed = 1});
     std::vector<placement_server> servers = threeServers();
@@ -65,7 +65,7 @@
         pool.choose(now, {.chain = &chain, .excluded = {"w2"}, .version = "v1"}).has_value());
 }
 
-TEST(Placement, AServerMarkedDownIsTheLastChoice)
+TEST(Placement, ChoosesDownServersOnlyAsLastResort)
 {
     placement pool({.randomSeed = 1});
     pool.setServers(threeServers());
@@ -76,16 +76,16 @@
     EXPECT_TRUE(pool.choose(now, {.chain = &chain, .excluded = {"w3"}}).has_value());
 }
 
-TEST(Placement, ANewIncarnationHoldsNothing)
+TEST(Placement, NewIncarnationClearsCacheEstimate)
 {
     placement pool({.randomSeed = 1});
     pool.setServers({{.name = "w1", .zone = "a", .version = "v1"}});
     const prefix_chain chain = chainOf(std::string(64000, 'a'));
     pool.noteLoad(now, "w1", {.incarnation = 1});
     pool.noteSent(now, "w1", chain, 0);
-    EXPECT_EQ(pool.choose(now, {.chain = &chain})->believedBlocks, 4u);
+    EXPECT_EQ(pool.choose(now, {.chain = &chain})->estimatedCachedBlocks, 4u);
     pool.noteLoad(now, "w1", {.incarnation = 2});
-    EXPECT_EQ(pool.choose(now, {.chain = &chain})->believedBlocks, 0u);
+    EXPECT_EQ(pool.choose(now, {.chain = &chain})->estimatedCachedBlocks, 0u);
 }
 
 } // namespace trefoil
--- a/libs/routing/tests/prefix_chain_test.cpp
+++ b/libs/routing/tests/prefix_chain_test.cpp
@@ -1,4 +1,4 @@
-#include <routing/cache_belief.h>
+#include <routing/cache_estimate.h>
 #include <routing/prefix_chain.h>
 
 #include <random>
@@ -30,76 +30,79 @@
     EXPECT_DOUBLE_EQ(first.tokens, 15000);
 }
 
-/// No belief about one team, version or incarnation may ever answer for another, whatever is sent.
-TEST(PrefixChain, NoHitAcrossTeamsVersionsOrIncarnations)
+/// Blocks cached for one team, model, weights version or incarnation must never count for another.
+TEST(PrefixChain, NoHitAcrossTeamsModelsVersionsOrIncarnations)
 {
     const timestamp now {std::chrono::seconds(100)};
     for (std::uint64_t seed = 1; seed <= 50; ++seed) {
         std::mt19937_64 random(seed);
         const std::string text(16000 * (1 + random() % 5), static_cast<char>('a' + random() % 3));
         const prefix_chain own = chainOf("reef", "m", text);
-        cache_belief belief("v1", 7);
-        belief.noteSent(now, own.blocks);
-        EXPECT_EQ(belief.depth(now, own.blocks), own.blocks.size());
-        EXPECT_EQ(belief.depth(now, chainOf("dune", "m", text).blocks), 0u);
-        EXPECT_EQ(belief.depth(now, chainOf("reef", "n", text).blocks), 0u);
-        cache_belief newer = belief;
-        newer.setIdentity("v2", 7);
-        EXPECT_EQ(newer.depth(now, own.blocks), 0u) << "older weights";
-        newer.setIdentity("v1", 7);
-        EXPECT_EQ(newer.depth(now, own.blocks), 0u) << "what was forgotten stays forgotten";
-        cache_belief restarted = belief;
+        cache_estimate cacheEstimate("v1", 7);
+        cacheEstimate.noteSent(now, own.blocks);
+        EXPECT_EQ(cacheEstimate.cachedPrefixLength(now, own.blocks), own.blocks.size());
+        EXPECT_EQ(cacheEstimate.cachedPrefixLength(now, chainOf("dune", "m", text).blocks), 0u);
+        EXPECT_EQ(cacheEstimate.cachedPrefixLength(now, chainOf("reef", "n", text).blocks), 0u);
+        cache_estimate changed = cacheEstimate;
+        changed.setIdentity("v2", 7);
+        EXPECT_EQ(changed.cachedPrefixLength(now, own.blocks), 0u) << "other weights version";
+        changed.setIdentity("v1", 7);
+        EXPECT_EQ(changed.cachedPrefixLength(now, own.blocks), 0u) << "cleared blocks stay cleared";
+        cache_estimate restarted = cacheEstimate;
         restarted.setIdentity("v1", 8);
-        EXPECT_EQ(restarted.depth(now, own.blocks), 0u) << "dead engine";
+        EXPECT_EQ(restarted.cachedPrefixLength(now, own.blocks), 0u) << "restarted engine";
     }
 }
 
-TEST(CacheBelief, EndsAfterTheKeepTimeThatTheWorkerShows)
+TEST(CacheEstimate, ExpiresAfterAdaptiveRetention)
 {
     timestamp now {std::chrono::seconds(100)};
     const prefix_chain chain = chainOf("reef", "m", std::string(32000, 'a'));
-    cache_belief belief("v1", 1);
-    belief.noteSent(now, chain.blocks);
-    EXPECT_EQ(belief.depth(now + std::chrono::seconds(10), chain.blocks), 2u);
-    EXPECT_EQ(belief.depth(now + std::chrono::seconds(30), chain.blocks), 0u);
-    const duration before = belief.keepTime();
-    belief.noteAnswer(now, chain.blocks, 0, 2);
-    EXPECT_LT(belief.keepTime(), before);
+    cache_estimate cacheEstimate("v1", 1);
+    cacheEstimate.noteSent(now, chain.blocks);
+    EXPECT_EQ(cacheEstimate.cachedPrefixLength(now + std::chrono::seconds(10), chain.blocks), 2u);
+    EXPECT_EQ(cacheEstimate.cachedPrefixLength(now + std::chrono::seconds(30), chain.blocks), 0u);
+    const duration before = cacheEstimate.retention();
+    cacheEstimate.noteCacheHits(now, chain.blocks, 0, 2);
+    EXPECT_LT(cacheEstimate.retention(), before);
 }
 
-TEST(CacheBelief, AGapInTheEventsDropsWhatWasNotUsedForHalfTheKeepTime)
+TEST(CacheEstimate, EventGapDropsBlocksUnusedForHalfTheRetention)
 {
     const timestamp start {std::chrono::seconds(100)};
     const prefix_chain chain = chainOf("reef", "m", std::string(32000, 'a'));
     const std::vector<digest128> none;
-    cache_belief belief("v1", 1);
-    const duration half = belief.keepTime() / 2;
+    cache_estimate cacheEstimate("v1", 1);
+    const duration half = cacheEstimate.retention() / 2;
     const duration little = std::chrono::milliseconds(10);
 
-    belief.noteEvents(start, 1, chain.blocks, none);
-    belief.noteEvents(start + half + little, 2, none, none);
-    EXPECT_EQ(belief.depth(start + half + little, chain.blocks), 2u) << "no gap";
+    cacheEstimate.noteEvents(start, 1, chain.blocks, none);
+    cacheEstimate.noteEvents(start + half + little, 2, none, none);
+    EXPECT_EQ(cacheEstimate.cachedPrefixLength(start + half + little, chain.blocks), 2u)
+        << "no gap";
 
-    cache_belief younger = belief;
-    younger.noteSent(start + little * 2, chain.blocks);
-    younger.noteEvents(start + half + little, 9, none, none);
-    EXPECT_EQ(younger.depth(start + half + little, chain.blocks), 2u) << "used since";
+    cache_estimate recentlyUsed = cacheEstimate;
+    recentlyUsed.noteSent(start + little * 2, chain.blocks);
+    recentlyUsed.noteEvents(start + half + little, 9, none, none);
+    EXPECT_EQ(recentlyUsed.cachedPrefixLength(start + half + little, chain.blocks), 2u)
+        << "used recently";
 
-    belief.noteEvents(start + half + little, 9, none, none);
-    EXPECT_EQ(belief.depth(start + half + little, chain.blocks), 0u) << "a gap, not used since";
+    cacheEstimate.noteEvents(start + half + little, 9, none, none);
+    EXPECT_EQ(cacheEstimate.cachedPrefixLength(start + half + little, chain.blocks), 0u)
+        << "a gap, not used recently";
 }
 
-TEST(CacheBelief, AnEvictionEndsBelief)
+TEST(CacheEstimate, EvictionRemovesBlock)
 {
     timestamp now {std::chrono::seconds(100)};
     const prefix_chain chain = chainOf("reef", "m", std::string(48000, 'a'));
     const std::vector<digest128> none;
-    cache_belief belief("v1", 1);
-    belief.noteSent(now, chain.blocks);
+    cache_estimate cacheEstimate("v1", 1);
+    cacheEstimate.noteSent(now, chain.blocks);
     now += std::chrono::seconds(3);
     const std::vector<digest128> evicted {chain.blocks[1]};
-    belief.noteEvents(now, 1, none, evicted);
-    EXPECT_EQ(belief.depth(now, chain.blocks), 1u);
+    cacheEstimate.noteEvents(now, 1, none, evicted);
+    EXPECT_EQ(cacheEstimate.cachedPrefixLength(now, chain.blocks), 1u);
 }
 
 } // namespace trefoil
--- a/trefoilrouter/src/edge/edge_state.h
+++ b/trefoilrouter/src/edge/edge_state.h
@@ -18,7 +18,7 @@
 #include <dispatch/serving_tables.h>
 #include <dispatch/team_limits.h>
 #include <platform/outage_clock.h>
-#include <routing/crash_ledger.h>
+#include <routing/crash_tracker.h>
 #include <telemetry/metrics.h>
 
 namespace trefoil {
@@ -33,7 +33,7 @@
     team_limits limits;
     member_table members;
     release_shares releases;
-    crash_ledger crashes;
+    crash_tracker crashes;
     /// Crashes seen here, told to the others until they are old.
     std::vector<std::pair<timestamp, crash_note>> ownCrashes;
     /// Retries by service.
