--- a/libs/control/src/control_node.cpp
+++ b/libs/control/src/control_node.cpp
@@ -137,7 +137,7 @@
     for (const std::pair<std::uint64_t, bool> &relayed : m_members.takeRelayed())
         m_actions.push_back(peer_reply {.token = relayed.first,
                                         .answer = gossip_relayed {.reached = relayed.second}});
-    for (const rumor &item : m_members.takeNews())
+    for (const rumor &item : m_members.takeUpdates())
         onNews(now, item);
     if (now < m_nextFleet)
         return;
@@ -415,7 +415,7 @@
     else
         inner = std::get<gossip_sync>(request);
     const std::optional<gossip_answer> answer = m_members.onRequest(now, inner, token);
-    for (const rumor &item : m_members.takeNews())
+    for (const rumor &item : m_members.takeUpdates())
         onNews(now, item);
     if (!answer)
         return std::nullopt;
@@ -437,7 +437,7 @@
             m_members.onAnswer(now, gossip->id, *ack);
         else if (const gossip_relayed *relayed = std::get_if<gossip_relayed>(&answer))
             m_members.onAnswer(now, gossip->id, *relayed);
-        for (const rumor &item : m_members.takeNews())
+        for (const rumor &item : m_members.takeUpdates())
             onNews(now, item);
     } else if (const for_lease *lease = std::get_if<for_lease>(&purpose)) {
         if (const confirm_answer *confirmed = std::get_if<confirm_answer>(&answer))
--- a/libs/gossip/include/gossip/membership.h
+++ b/libs/gossip/include/gossip/membership.h
@@ -14,17 +14,18 @@
 
 namespace trefoil {
 
-/// What an instance says of itself.
+/// Identity and addresses that an instance announces about itself.
 struct member_info
 {
     std::string name;
     std::string zone;
     std::string region;
-    /// "address:port" of the callers' listener.
+    /// "address:port" of the listener for callers.
     std::string callers;
-    /// "address:port" of the peers' listener.
+    /// "address:port" of the listener for peers.
     std::string peers;
-    /// Rises with each start of the instance and each time it contradicts a suspicion.
+    /// Increases with each start of the instance, each refuted suspicion and when it starts to
+    /// leave.
     std::uint64_t incarnation = 0;
     /// Whether it is shutting down: it finishes its streams and takes no new work.
     bool leaving = false;
@@ -32,11 +33,11 @@
     bool operator==(const member_info &) const = default;
 };
 
-/// What the fleet believes of a member. The order matters: of two beliefs about the same
-/// incarnation the later one wins.
+/// State of a member. The order of the values matters: of two states of the same incarnation, the
+/// one with the higher value takes precedence.
 enum class member_state { Alive, Suspect, Dead };
 
-/// A member and the belief about it.
+/// A member and its state as known to this instance.
 struct member
 {
     member_info info;
@@ -45,7 +46,7 @@
     bool operator==(const member &) const = default;
 };
 
-/// Probe of a peer, carrying rumors; answered by a gossip_ack.
+/// Probes a peer and carries rumors; answered by a gossip_ack.
 struct gossip_ping
 {
     std::string from;
@@ -58,21 +59,23 @@
     std::vector<rumor> rumors;
 };
 
-/// Asks a peer to probe @p target in the sender's place; answered by a gossip_relayed.
+/// Asks a peer to probe @p target on the sender's behalf (SWIM's ping-req); answered by a
+/// gossip_relayed.
 struct gossip_relay
 {
     std::string from;
-    /// "address:port" of the peers' listener of the member to probe.
+    /// "address:port" of the peer listener of the member to probe.
     std::string target;
 };
 
-/// Says whether the relayed probe was answered.
+/// Result of a relayed probe.
 struct gossip_relayed
 {
+    /// Whether the target answered.
     bool reached = false;
 };
 
-/// Asks for the rumors of buckets whose hashes differ; answered by a gossip_ack.
+/// Asks for the rumors of the buckets whose hashes differ from these; answered by a gossip_ack.
 struct gossip_sync
 {
     std::string from;
@@ -82,7 +85,7 @@
 using gossip_request = std::variant<gossip_ping, gossip_relay, gossip_sync>;
 using gossip_answer = std::variant<gossip_ack, gossip_relayed>;
 
-/// A request to be sent to a peer. The driver reports its answer or failure under the same id.
+/// A request to send to a peer. The caller reports its answer or failure under the same id.
 struct gossip_call
 {
     std::uint64_t id = 0;
@@ -95,97 +98,105 @@
 struct membership_options
 {
     member_info self;
-    /// "address:port" of peers to ask before any member is known.
+    /// "address:port" of the peers to contact first. One is also contacted now and then later.
     std::vector<std::string> seeds;
     std::uint64_t randomSeed = 0;
-    /// One member is probed a period.
+    /// Protocol period: one member is probed per period.
     duration period = std::chrono::seconds(1);
-    /// Members asked to probe in our place when a probe fails.
+    /// Members asked to relay a probe when the direct probe fails.
     int relays = 3;
-    /// Bytes of rumors in one message.
+    /// Maximum bytes of rumors in one message, except in answers to a gossip_sync.
     std::size_t maxMessageBytes = 1400;
-    /// Periods between two comparisons of hashes with a random member.
+    /// Periods between two anti-entropy syncs with a random member.
     int syncPeriods = 5;
-    /// Members that news of an urgent topic is sent to at once.
+    /// Members that a rumor of an urgent topic is sent to at once.
     int urgentFanout = 3;
     std::vector<std::string> urgentTopics;
-    /// How long a dead member is remembered, so that old news of it is recognised.
-    duration tombstoneLife = std::chrono::minutes(10);
+    /// How long a dead member is kept, so that outdated rumors about it are recognised.
+    duration tombstoneLifetime = std::chrono::minutes(10);
 };
 
-/// Failure detection and spread of rumors on one instance: a pure state machine.
+/// SWIM failure detection and dissemination of rumors on one instance, as a state machine without
+/// I/O or a clock.
 ///
 ///     membership fleet({ .self = info, .seeds = seeds, .randomSeed = 1 });
 ///     for (const gossip_call &call : fleet.tick(now))
 ///         send(call);                      // later fleet.onAnswer(...) or fleet.onFailure(...)
-///     for (const rumor &item : fleet.takeNews())
-///         react(item);
+///     for (const rumor &item : fleet.takeUpdates())
+///         handle(item);
 ///
-/// tick() is called several times a period. Not thread-safe: the control thread owns it.
+/// Call tick() several times per period. Not thread-safe: the control thread owns it.
 class membership
 {
 public:
-    /// Topic of the rumors about members.
+    /// Topic of rumors about the state of members.
     static constexpr const char *memberTopic = "member";
 
     explicit membership(membership_options options);
 
-    /// @name Driving
+    /// @name Protocol
     /// @{
 
-    /// Starts probes, gives up late ones and expires suspicions. Returns the calls to make.
+    /// Starts probes and syncs, and expires calls and suspicions. Returns the calls to make.
     std::vector<gossip_call> tick(timestamp now);
-    /// Answers a peer's request. A relay returns nothing now: the driver makes the calls of the
-    /// next tick() and answers when takeRelayed() names @p relayId.
+    /// Handles a peer's request and returns the answer. For a gossip_relay it returns nothing: the
+    /// next tick() returns the call to the target, and the caller answers the request once
+    /// takeRelayed() returns @p relayId.
     std::optional<gossip_answer> onRequest(timestamp now, const gossip_request &request,
                                            std::uint64_t relayId);
-    /// Takes the answer to the call @p id. An unknown id is ignored.
+    /// Handles the answer to the call @p id. An unknown id is ignored.
     void onAnswer(timestamp now, std::uint64_t id, const gossip_answer &answer);
-    /// Notes that the call @p id failed. An unknown id is ignored.
+    /// Handles the failure of the call @p id. An unknown id is ignored.
     void onFailure(timestamp now, std::uint64_t id);
-    /// Returns the finished relays and whether each target was reached, and forgets them.
+    /// Returns and removes the finished relays: their relay id, and whether the target answered.
     std::vector<std::pair<std::uint64_t, bool>> takeRelayed();
 
     /// @}
     /// @name Rumors
     /// @{
 
-    /// Spreads @p item. Returns whether it was news to this instance.
+    /// Disseminates @p item. Returns false if this instance already knows it or a newer version.
     bool publish(const rumor &item);
-    /// Returns what became known from others since the last call, in order.
-    std::vector<rumor> takeNews();
-    /// The rumors known.
+    /// Returns and removes the rumors received from others and the changes of member states since
+    /// the last call, in order.
+    std::vector<rumor> takeUpdates();
+    /// Returns the rumors that this instance knows.
     const rumor_store &rumors() const { return m_rumors; }
 
     /// @}
     /// @name Members
     /// @{
 
-    /// Returns the member @p name, or nothing where it is unknown.
+    /// Returns the member @p name, or nothing if it is unknown.
     std::optional<member> find(std::string_view name) const;
-    /// Returns all members but the dead, this instance included, in the order of their names.
+    /// Returns all members that are not dead, including this instance, sorted by name.
     std::vector<member> members() const;
-    /// Changes what this instance says of itself: whether it is leaving.
+    /// Announces that this instance is leaving. Can't be undone.
     void setLeaving();
-    /// Returns what this instance says of itself.
+    /// Returns what this instance announces about itself.
     const member_info &self() const { return m_options.self; }
 
     /// @}
 
 private:
-    /// A probe on its way to a member.
+    /// A probe of a member that is not finished.
     struct probe
     {
         std::string name;
         std::string address;
-        bool relayed = false;
-        int openRelays = 0;
+        bool relaysAsked = false;
+        int pendingRelays = 0;
         timestamp deadline;
     };
-    /// What a call was made for.
-    struct open_call
+    /// Purpose of a call that is not answered yet.
+    struct pending_call
     {
-        enum class purpose { Probe, Relay, RelayTarget, Spread } kind = purpose::Spread;
+        enum class call_kind {
+            Probe,
+            Relay,
+            RelayTarget,
+            Disseminate
+        } kind = call_kind::Disseminate;
         std::string name;
         std::uint64_t relayId = 0;
         timestamp deadline;
@@ -194,20 +205,21 @@
     void startPeriod(timestamp now, std::vector<gossip_call> &calls);
     void startProbe(timestamp now, std::vector<gossip_call> &calls);
     void startSync(timestamp now, std::vector<gossip_call> &calls);
-    void sendUrgent(timestamp now, std::vector<gossip_call> &calls);
-    void askRelays(timestamp now, std::vector<gossip_call> &calls);
+    void sendUrgentRumors(timestamp now, std::vector<gossip_call> &calls);
+    void advanceProbes(timestamp now, std::vector<gossip_call> &calls);
     void expireCalls(timestamp now);
     void expireSuspicions(timestamp now);
     std::string nextTarget();
     std::vector<member> randomPeers(std::size_t count, std::string_view except);
-    gossip_call call(timestamp now, std::string to, gossip_request request, open_call purpose);
+    gossip_call call(timestamp now, std::string to, gossip_request request,
+                     pending_call pendingCall);
     std::vector<rumor> pickRumors();
-    void mergeAll(timestamp now, const std::vector<rumor> &rumors);
+    void mergeRumors(timestamp now, const std::vector<rumor> &rumors);
     void mergeMember(timestamp now, const rumor &item);
     void publishSelf();
-    void publishBelief(const member &about);
-    void suspect(timestamp now, std::string_view name);
-    void finishProbe(std::string_view name);
+    void publishState(const member &about);
+    void markSuspect(timestamp now, std::string_view name);
+    void removeProbe(std::string_view name);
     void failProbe(timestamp now, std::string_view name);
     int maxSends() const;
     duration suspicionTimeout() const;
@@ -215,25 +227,25 @@
     membership_options m_options;
     std::mt19937_64 m_random;
     rumor_store m_rumors;
-    std::vector<rumor> m_news;
+    std::vector<rumor> m_updates;
     std::map<std::string, member, std::less<>> m_members;
     std::map<std::string, timestamp, std::less<>> m_suspectedAt;
     std::map<std::string, timestamp, std::less<>> m_diedAt;
-    std::vector<std::string> m_ring;
+    std::vector<std::string> m_probeOrder;
     std::optional<timestamp> m_nextPeriod;
     int m_periods = 0;
-    bool m_urgent = false;
+    bool m_hasUrgentRumors = false;
     std::uint64_t m_nextId = 1;
-    std::map<std::uint64_t, open_call> m_calls;
+    std::map<std::uint64_t, pending_call> m_calls;
     std::map<std::string, probe, std::less<>> m_probes;
     std::vector<std::pair<std::uint64_t, std::string>> m_relayQueue;
     std::vector<std::pair<std::uint64_t, bool>> m_relayed;
 };
 
-/// Returns the rumor that spreads the belief @p about. Thread-safe.
+/// Returns the rumor that disseminates the state of @p about. Thread-safe.
 rumor toRumor(const member &about);
 
-/// Reads a belief from a rumor of the member topic; nothing where it is malformed. Thread-safe.
+/// Parses a rumor of the member topic. Returns nothing if it is malformed. Thread-safe.
 std::optional<member> memberFromRumor(const rumor &item);
 
 } // namespace trefoil
--- a/libs/gossip/include/gossip/rumor_store.h
+++ b/libs/gossip/include/gossip/rumor_store.h
@@ -10,8 +10,8 @@
 
 namespace trefoil {
 
-/// A fact that spreads through the fleet. Of two rumors with the same topic and key the one with
-/// the higher version wins, so that a fact never goes back.
+/// A versioned fact disseminated to the fleet. Of two rumors with the same topic and key, the one
+/// with the higher version wins, so that a fact never reverts to an older version.
 struct rumor
 {
     std::string topic;
@@ -22,35 +22,37 @@
     bool operator==(const rumor &) const = default;
 };
 
-/// Hashes of a store's buckets, compared to find what two instances know differently.
+/// Number of buckets whose hashes two instances compare to find rumors that differ.
 constexpr std::size_t rumorBuckets = 32;
 using bucket_hashes = std::array<std::uint64_t, rumorBuckets>;
 
-/// Every rumor that an instance knows, and how often it has passed each on. Not thread-safe.
+/// Stores every rumor that an instance knows and how often it sent each. Not thread-safe.
 class rumor_store
 {
 public:
-    /// Takes @p item if it is newer than what is known. Returns whether it was.
+    /// Stores @p item if it is unknown or newer than the stored version. Returns whether it was
+    /// stored.
     bool merge(const rumor &item);
-    /// Forgets a rumor, for example of a member long dead. Does nothing where it is unknown.
+    /// Removes a rumor, for example of a member that died long ago. Does nothing if it is unknown.
     void erase(std::string_view topic, std::string_view key);
-    /// Returns the rumor or null. The pointer is valid until the next change.
+    /// Returns the rumor, or nullptr if it is unknown. The pointer is valid until the next change.
     const rumor *find(std::string_view topic, std::string_view key) const;
-    /// Returns all rumors of @p topic in the order of their keys.
+    /// Returns all rumors of @p topic, sorted by key.
     std::vector<rumor> all(std::string_view topic) const;
     /// Returns the number of rumors.
     std::size_t size() const { return m_entries.size(); }
 
-    /// Returns up to @p maxBytes of the rumors passed on the fewest times, each at most
-    /// @p maxSends times in all, and counts them as passed on.
+    /// Returns rumors to send, least sent first, up to @p maxBytes in all, and counts them as sent.
+    /// Each rumor is returned at most @p maxSends times in total.
     std::vector<rumor> pick(std::size_t maxBytes, int maxSends);
-    /// Returns what pick() would, without counting: for answers, whose receivers often know it all.
+    /// Returns rumors to send like pick(), but does not count them. Used for answers, because their
+    /// receivers often know the rumors already.
     std::vector<rumor> peek(std::size_t maxBytes) const;
 
-    /// Returns whether a rumor was passed on fewer than @p sends times.
-    bool hasSentLessThan(int sends) const;
+    /// Returns whether any rumor still to be sent was sent fewer than @p sends times.
+    bool hasRumorSentLessThan(int sends) const;
 
-    /// Returns a hash of each bucket's topics, keys and versions.
+    /// Returns the hash of each bucket: of its rumors' topics, keys and versions.
     bucket_hashes hashes() const { return m_hashes; }
     /// Returns the rumors of bucket @p index. Precondition: index < rumorBuckets.
     std::vector<rumor> bucket(std::size_t index) const;
@@ -67,7 +69,7 @@
     static std::uint64_t hashOf(const rumor &item);
 
     std::map<entry_key, entry> m_entries;
-    /// Entries that may still be passed on, by number of sends: pick() looks at no others.
+    /// Keys of entries that may still be sent, by number of sends. May hold outdated keys.
     std::map<int, std::vector<entry_key>> m_pending;
     bucket_hashes m_hashes {};
 };
--- a/libs/gossip/src/membership.cpp
+++ b/libs/gossip/src/membership.cpp
@@ -11,21 +11,22 @@
 
 namespace {
 
-/// Rumors are passed on this many times the logarithm of the fleet's size, which reaches every
-/// member with high probability (the SWIM paper's lambda).
-constexpr double sendsPerLog = 3;
+/// A rumor is sent this many times log2 of the fleet size, which reaches every member with high
+/// probability (lambda in the SWIM paper).
+constexpr double retransmitMultiplier = 3;
 
-/// Periods that a member stays suspect, times the logarithm of the fleet's size.
-constexpr double suspicionPeriodsPerLog = 3;
+/// A member stays suspect for this many periods times log10 of the fleet size, at least for this
+/// many periods.
+constexpr double suspicionMultiplier = 3;
 
-/// Versions of a member's rumor leave room for the states of one incarnation.
+/// The version of a member's rumor is its incarnation times this, plus its state.
 constexpr std::uint64_t statesPerIncarnation = 4;
 
-/// Times that urgent news is passed on at once, each time to urgentFanout members.
+/// Number of ticks that send an urgent rumor at once, each to urgentFanout members.
 constexpr int urgentRounds = 2;
 
-/// A direct probe gets this part of a period before relays are asked.
-constexpr int directShare = 3;
+/// A direct probe times out after the period divided by this; then relays are asked.
+constexpr int directProbeDivisor = 3;
 
 } // namespace
 
@@ -80,13 +81,13 @@
         m_nextPeriod = now + m_options.period;
         startPeriod(now, calls);
     }
-    askRelays(now, calls);
-    if (m_urgent)
-        sendUrgent(now, calls);
+    advanceProbes(now, calls);
+    if (m_hasUrgentRumors)
+        sendUrgentRumors(now, calls);
     for (const std::pair<std::uint64_t, std::string> &relay : m_relayQueue) {
-        calls.push_back(call(now, relay.second,
-                             gossip_ping {.from = m_options.self.name, .rumors = {}},
-                             {.kind = open_call::purpose::RelayTarget, .relayId = relay.first}));
+        calls.push_back(
+            call(now, relay.second, gossip_ping {.from = m_options.self.name, .rumors = {}},
+                 {.kind = pending_call::call_kind::RelayTarget, .relayId = relay.first}));
     }
     m_relayQueue.clear();
     return calls;
@@ -106,52 +107,54 @@
     if (target.empty())
         return;
     const std::string address = m_members.find(target)->second.info.peers;
-    m_probes[target] = {
-        .name = target, .address = address, .deadline = now + m_options.period / directShare};
+    m_probes[target] = {.name = target,
+                        .address = address,
+                        .deadline = now + m_options.period / directProbeDivisor};
     calls.push_back(call(now, address,
                          gossip_ping {.from = m_options.self.name, .rumors = pickRumors()},
-                         {.kind = open_call::purpose::Probe, .name = target}));
+                         {.kind = pending_call::call_kind::Probe, .name = target}));
 }
 
 std::string membership::nextTarget()
 {
     while (true) {
-        if (m_ring.empty()) {
+        if (m_probeOrder.empty()) {
             for (const member &each : members()) {
                 if (each.info.name != m_options.self.name)
-                    m_ring.push_back(each.info.name);
+                    m_probeOrder.push_back(each.info.name);
             }
-            std::shuffle(m_ring.begin(), m_ring.end(), m_random);
-            if (m_ring.empty())
+            std::shuffle(m_probeOrder.begin(), m_probeOrder.end(), m_random);
+            if (m_probeOrder.empty())
                 return {};
         }
-        const std::string name = std::move(m_ring.back());
-        m_ring.pop_back();
+        const std::string name = std::move(m_probeOrder.back());
+        m_probeOrder.pop_back();
         const auto found = m_members.find(name);
-        const bool probeable = found != m_members.end() && found->second.state != member_state::Dead
-            && !m_probes.contains(name);
-        if (probeable)
+        const bool canBeProbed = found != m_members.end()
+            && found->second.state != member_state::Dead && !m_probes.contains(name);
+        if (canBeProbed)
             return name;
-        if (m_ring.empty() && m_probes.size() + 1 >= m_members.size())
+        if (m_probeOrder.empty() && m_probes.size() + 1 >= m_members.size())
             return {};
     }
 }
 
 void membership::startSync(timestamp now, std::vector<gossip_call> &calls)
 {
-    // Without members every seed is asked: those who start together would otherwise gather around
-    // different seeds. Later one now and then, so that two halves of a fleet find each other again.
-    constexpr int seedEvery = 4;
+    // While no other member is known, every seed is contacted: instances that start together could
+    // otherwise form separate groups around different seeds. Later one seed is contacted now and
+    // then, so that the halves of a partitioned fleet find each other again.
+    constexpr int syncsPerSeedContact = 4;
     const std::vector<member> peers = randomPeers(1, {});
     std::vector<std::string> addresses;
-    const bool trySeed = (m_periods / m_options.syncPeriods) % seedEvery == 0;
+    const bool contactsSeed = (m_periods / m_options.syncPeriods) % syncsPerSeedContact == 0;
     for (const std::string &seed : m_options.seeds) {
         if (seed != m_options.self.peers)
             addresses.push_back(seed);
     }
     if (!peers.empty()) {
         std::shuffle(addresses.begin(), addresses.end(), m_random);
-        addresses.resize(std::min<std::size_t>(trySeed ? 1 : 0, addresses.size()));
+        addresses.resize(std::min<std::size_t>(contactsSeed ? 1 : 0, addresses.size()));
         if (addresses.empty())
             addresses.push_back(peers.front().info.peers);
     }
@@ -165,41 +168,42 @@
     }
 }
 
-void membership::sendUrgent(timestamp now, std::vector<gossip_call> &calls)
+void membership::sendUrgentRumors(timestamp now, std::vector<gossip_call> &calls)
 {
-    // The same news to each: spread one by one, a piece of news would reach too few to go on fast.
-    const std::vector<rumor> news = pickRumors();
+    // All peers get the same rumors. Distributed among the peers, each rumor would reach too few of
+    // them to spread quickly.
+    const std::vector<rumor> rumors = pickRumors();
     for (const member &peer : randomPeers(static_cast<std::size_t>(m_options.urgentFanout), {})) {
         calls.push_back(call(now, peer.info.peers,
-                             gossip_ping {.from = m_options.self.name, .rumors = news}, {}));
+                             gossip_ping {.from = m_options.self.name, .rumors = rumors}, {}));
     }
-    // One round of three peers leaves about one member in twenty without the news, two rounds one
-    // in four hundred. More news than one message holds goes out with the next tick, too.
-    m_urgent = m_rumors.hasSentLessThan(urgentRounds) && m_members.size() > 1;
+    // With three peers, one round misses about one member in twenty and two rounds miss one in four
+    // hundred. Urgent rumors that did not fit into the message are sent with the next tick.
+    m_hasUrgentRumors = m_rumors.hasRumorSentLessThan(urgentRounds) && m_members.size() > 1;
 }
 
-void membership::askRelays(timestamp now, std::vector<gossip_call> &calls)
+void membership::advanceProbes(timestamp now, std::vector<gossip_call> &calls)
 {
     for (auto it = m_probes.begin(); it != m_probes.end(); ++it) {
         probe &pending = it->second;
-        if (pending.relayed || now < pending.deadline)
+        if (pending.relaysAsked || now < pending.deadline)
             continue;
-        pending.relayed = true;
+        pending.relaysAsked = true;
         const std::vector<member> relays =
             randomPeers(static_cast<std::size_t>(m_options.relays), pending.name);
-        pending.openRelays = static_cast<int>(relays.size());
+        pending.pendingRelays = static_cast<int>(relays.size());
         pending.deadline = now + m_options.period;
         for (const member &relay : relays) {
             calls.push_back(
                 call(now, relay.info.peers,
                      gossip_relay {.from = m_options.self.name, .target = pending.address},
-                     {.kind = open_call::purpose::Relay, .name = pending.name}));
+                     {.kind = pending_call::call_kind::Relay, .name = pending.name}));
         }
     }
     std::vector<std::string> failed;
     for (auto it = m_probes.begin(); it != m_probes.end(); ++it) {
         const probe &pending = it->second;
-        if (pending.relayed && (pending.openRelays == 0 || now >= pending.deadline))
+        if (pending.relaysAsked && (pending.pendingRelays == 0 || now >= pending.deadline))
             failed.push_back(pending.name);
     }
     for (const std::string &name : failed)
@@ -211,10 +215,10 @@
     const auto found = m_probes.find(name);
     if (found != m_probes.end())
         m_probes.erase(found);
-    suspect(now, name);
+    markSuspect(now, name);
 }
 
-void membership::finishProbe(std::string_view name)
+void membership::removeProbe(std::string_view name)
 {
     const auto found = m_probes.find(name);
     if (found != m_probes.end())
@@ -223,35 +227,35 @@
 
 void membership::expireCalls(timestamp now)
 {
-    std::vector<std::uint64_t> late;
+    std::vector<std::uint64_t> expiredIds;
     for (auto it = m_calls.begin(); it != m_calls.end(); ++it) {
         if (now >= it->second.deadline)
-            late.push_back(it->first);
+            expiredIds.push_back(it->first);
     }
-    for (const std::uint64_t id : late)
+    for (const std::uint64_t id : expiredIds)
         onFailure(now, id);
 }
 
 void membership::expireSuspicions(timestamp now)
 {
-    std::vector<std::string> died;
+    std::vector<std::string> deadNames;
     for (auto it = m_suspectedAt.begin(); it != m_suspectedAt.end(); ++it) {
         if (now - it->second >= suspicionTimeout())
-            died.push_back(it->first);
+            deadNames.push_back(it->first);
     }
-    for (const std::string &name : died) {
+    for (const std::string &name : deadNames) {
         m_suspectedAt.erase(name);
         m_diedAt[name] = now;
         member &about = m_members.at(name);
         about.state = member_state::Dead;
-        publishBelief(about);
+        publishState(about);
     }
-    std::vector<std::string> forgotten;
+    std::vector<std::string> expiredNames;
     for (auto it = m_diedAt.begin(); it != m_diedAt.end(); ++it) {
-        if (now - it->second >= m_options.tombstoneLife)
-            forgotten.push_back(it->first);
+        if (now - it->second >= m_options.tombstoneLifetime)
+            expiredNames.push_back(it->first);
     }
-    for (const std::string &name : forgotten) {
+    for (const std::string &name : expiredNames) {
         m_diedAt.erase(name);
         m_members.erase(name);
         m_rumors.erase(memberTopic, name);
@@ -274,11 +278,11 @@
 }
 
 gossip_call membership::call(timestamp now, std::string to, gossip_request request,
-                             open_call purpose)
+                             pending_call pendingCall)
 {
     const std::uint64_t id = m_nextId++;
-    purpose.deadline = now + m_options.period;
-    m_calls[id] = std::move(purpose);
+    pendingCall.deadline = now + m_options.period;
+    m_calls[id] = std::move(pendingCall);
     return {.id = id, .to = std::move(to), .request = std::move(request)};
 }
 
@@ -291,9 +295,9 @@
                                                    std::uint64_t relayId)
 {
     if (const gossip_ping *ping = std::get_if<gossip_ping>(&request)) {
-        // Picked before the ping's own rumors are taken: those the sender has already.
+        // Selected before the ping's rumors are merged, because the sender already has those.
         std::vector<rumor> answer = m_rumors.peek(m_options.maxMessageBytes);
-        mergeAll(now, ping->rumors);
+        mergeRumors(now, ping->rumors);
         return gossip_ack {.rumors = std::move(answer)};
     }
     if (const gossip_relay *relay = std::get_if<gossip_relay>(&request)) {
@@ -301,8 +305,8 @@
         return std::nullopt;
     }
     const gossip_sync &sync = std::get<gossip_sync>(request);
-    // Two buckets bound the answer; the rest follows at the next comparisons. A newcomer, whose
-    // hashes nearly all differ, gets everything, since it can't work without.
+    // At most two buckets are sent to bound the answer; the rest follows with the next syncs. A new
+    // member, whose buckets are nearly all empty, gets everything because it can't work without.
     constexpr std::size_t maxBuckets = 2;
     const bucket_hashes own = m_rumors.hashes();
     std::vector<std::size_t> differing;
@@ -312,9 +316,9 @@
     }
     const std::size_t emptyBuckets = static_cast<std::size_t>(
         std::count(sync.hashes.begin(), sync.hashes.end(), std::uint64_t {0}));
-    const bool newcomer = emptyBuckets + 2 >= rumorBuckets;
+    const bool isNewMember = emptyBuckets + 2 >= rumorBuckets;
     std::shuffle(differing.begin(), differing.end(), m_random);
-    if (!newcomer && differing.size() > maxBuckets)
+    if (!isNewMember && differing.size() > maxBuckets)
         differing.resize(maxBuckets);
     gossip_ack ack;
     for (const std::size_t index : differing) {
@@ -329,22 +333,22 @@
     const auto found = m_calls.find(id);
     if (found == m_calls.end())
         return;
-    const open_call purpose = found->second;
+    const pending_call finishedCall = found->second;
     m_calls.erase(found);
     if (const gossip_ack *ack = std::get_if<gossip_ack>(&answer))
-        mergeAll(now, ack->rumors);
-    if (purpose.kind == open_call::purpose::Probe)
-        finishProbe(purpose.name);
-    if (purpose.kind == open_call::purpose::RelayTarget)
-        m_relayed.emplace_back(purpose.relayId, true);
-    if (purpose.kind != open_call::purpose::Relay)
+        mergeRumors(now, ack->rumors);
+    if (finishedCall.kind == pending_call::call_kind::Probe)
+        removeProbe(finishedCall.name);
+    if (finishedCall.kind == pending_call::call_kind::RelayTarget)
+        m_relayed.emplace_back(finishedCall.relayId, true);
+    if (finishedCall.kind != pending_call::call_kind::Relay)
         return;
     const gossip_relayed *relayed = std::get_if<gossip_relayed>(&answer);
-    const auto pending = m_probes.find(purpose.name);
+    const auto pending = m_probes.find(finishedCall.name);
     if (relayed && relayed->reached)
-        finishProbe(purpose.name);
+        removeProbe(finishedCall.name);
     else if (pending != m_probes.end())
-        --pending->second.openRelays;
+        --pending->second.pendingRelays;
 }
 
 void membership::onFailure(timestamp now, std::uint64_t id)
@@ -352,16 +356,16 @@
     const auto found = m_calls.find(id);
     if (found == m_calls.end())
         return;
-    const open_call purpose = found->second;
+    const pending_call finishedCall = found->second;
     m_calls.erase(found);
-    const auto pending = m_probes.find(purpose.name);
-    if (purpose.kind == open_call::purpose::Probe && pending != m_probes.end()
-        && !pending->second.relayed)
+    const auto pending = m_probes.find(finishedCall.name);
+    if (finishedCall.kind == pending_call::call_kind::Probe && pending != m_probes.end()
+        && !pending->second.relaysAsked)
         pending->second.deadline = now; // a refused connection needs no further wait
-    if (purpose.kind == open_call::purpose::Relay && pending != m_probes.end())
-        --pending->second.openRelays;
-    if (purpose.kind == open_call::purpose::RelayTarget)
-        m_relayed.emplace_back(purpose.relayId, false);
+    if (finishedCall.kind == pending_call::call_kind::Relay && pending != m_probes.end())
+        --pending->second.pendingRelays;
+    if (finishedCall.kind == pending_call::call_kind::RelayTarget)
+        m_relayed.emplace_back(finishedCall.relayId, false);
 }
 
 std::vector<std::pair<std::uint64_t, bool>> membership::takeRelayed()
@@ -375,19 +379,19 @@
         return false;
     if (std::find(m_options.urgentTopics.begin(), m_options.urgentTopics.end(), item.topic)
         != m_options.urgentTopics.end())
-        m_urgent = true;
+        m_hasUrgentRumors = true;
     return true;
 }
 
-std::vector<rumor> membership::takeNews() { return std::exchange(m_news, {}); }
+std::vector<rumor> membership::takeUpdates() { return std::exchange(m_updates, {}); }
 
-void membership::mergeAll(timestamp now, const std::vector<rumor> &rumors)
+void membership::mergeRumors(timestamp now, const std::vector<rumor> &rumors)
 {
     for (const rumor &item : rumors) {
         if (item.topic == memberTopic)
             mergeMember(now, item);
         else if (publish(item))
-            m_news.push_back(item);
+            m_updates.push_back(item);
     }
 }
 
@@ -397,10 +401,10 @@
     if (!about)
         return;
     if (about->info.name == m_options.self.name) {
-        const bool contradicts = about->info.incarnation > m_options.self.incarnation
+        const bool isRefutationNeeded = about->info.incarnation > m_options.self.incarnation
             || (about->info.incarnation == m_options.self.incarnation
                 && about->state != member_state::Alive);
-        if (contradicts) {
+        if (isRefutationNeeded) {
             m_options.self.incarnation = about->info.incarnation + 1;
             publishSelf();
         }
@@ -408,7 +412,7 @@
     }
     if (!m_rumors.merge(item))
         return;
-    m_news.push_back(item);
+    m_updates.push_back(item);
     m_members[about->info.name] = *about;
     m_suspectedAt.erase(about->info.name);
     m_diedAt.erase(about->info.name);
@@ -416,25 +420,25 @@
         m_suspectedAt[about->info.name] = now;
     if (about->state == member_state::Dead) {
         m_diedAt[about->info.name] = now;
-        finishProbe(about->info.name);
+        removeProbe(about->info.name);
     }
 }
 
-void membership::suspect(timestamp now, std::string_view name)
+void membership::markSuspect(timestamp now, std::string_view name)
 {
     const auto found = m_members.find(name);
     if (found == m_members.end() || found->second.state != member_state::Alive)
         return;
     found->second.state = member_state::Suspect;
     m_suspectedAt[found->first] = now;
-    publishBelief(found->second);
+    publishState(found->second);
 }
 
-void membership::publishBelief(const member &about)
+void membership::publishState(const member &about)
 {
     const rumor item = toRumor(about);
     if (m_rumors.merge(item))
-        m_news.push_back(item);
+        m_updates.push_back(item);
 }
 
 void membership::publishSelf()
@@ -451,7 +455,7 @@
     m_options.self.leaving = true;
     ++m_options.self.incarnation;
     publishSelf();
-    m_urgent = true;
+    m_hasUrgentRumors = true;
 }
 
 std::optional<member> membership::find(std::string_view name) const
@@ -475,13 +479,13 @@
 int membership::maxSends() const
 {
     const double size = static_cast<double>(m_members.size());
-    return static_cast<int>(std::ceil(sendsPerLog * std::log2(size + 1)));
+    return static_cast<int>(std::ceil(retransmitMultiplier * std::log2(size + 1)));
 }
 
 duration membership::suspicionTimeout() const
 {
     const double size = static_cast<double>(m_members.size());
-    const double periods = suspicionPeriodsPerLog * std::max(1.0, std::log10(size));
+    const double periods = suspicionMultiplier * std::max(1.0, std::log10(size));
     return fromSeconds(toSeconds(m_options.period) * periods);
 }
 
--- a/libs/gossip/src/rumor_store.cpp
+++ b/libs/gossip/src/rumor_store.cpp
@@ -9,7 +9,7 @@
 
 namespace {
 
-/// Quotes, names and punctuation that JSON adds to a rumor.
+/// Estimated bytes of quotes, field names, version and punctuation of a rumor in JSON.
 constexpr std::size_t encodingOverhead = 24;
 
 std::size_t encodedSize(const rumor &item)
@@ -80,26 +80,26 @@
 {
     std::vector<rumor> picked;
     std::size_t bytes = 0;
-    std::map<int, std::vector<entry_key>> kept;
+    std::map<int, std::vector<entry_key>> stillPending;
     for (auto it = m_pending.begin(); it != m_pending.end(); ++it) {
         for (const entry_key &key : it->second) {
             const auto found = m_entries.find(key);
-            // An entry replaced since stands in the list of its new number of sends.
+            // The entry was erased, or replaced and listed again under its new number of sends.
             if (found == m_entries.end() || found->second.sends != it->first)
                 continue;
             const std::size_t size = encodedSize(found->second.item);
             if (bytes + size > maxBytes) {
-                kept[it->first].push_back(key);
+                stillPending[it->first].push_back(key);
                 continue;
             }
             bytes += size;
             picked.push_back(found->second.item);
             ++found->second.sends;
             if (found->second.sends < maxSends)
-                kept[found->second.sends].push_back(key);
+                stillPending[found->second.sends].push_back(key);
         }
     }
-    m_pending = std::move(kept);
+    m_pending = std::move(stillPending);
     return picked;
 }
 
@@ -121,7 +121,7 @@
     return picked;
 }
 
-bool rumor_store::hasSentLessThan(int sends) const
+bool rumor_store::hasRumorSentLessThan(int sends) const
 {
     for (auto it = m_pending.begin(); it != m_pending.end() && it->first < sends; ++it) {
         if (!it->second.empty())
--- a/libs/gossip/tests/membership_test.cpp
+++ b/libs/gossip/tests/membership_test.cpp
@@ -10,7 +10,8 @@
 
 namespace {
 
-/// A fleet in virtual time: each call is answered after a fixed delay unless a fault drops it.
+/// Simulates a fleet in virtual time. A call is answered at once, unless its link is down, or fails
+/// or gets no answer because its target is stopped or frozen.
 class fleet
 {
 public:
@@ -44,18 +45,19 @@
         const timestamp end = m_now + time;
         while (m_now < end) {
             m_now += std::chrono::milliseconds(50);
-            step();
+            runTick();
         }
     }
 
-    /// Returns whether the link is up; replaced by tests that cut it.
+    /// Returns whether the link between two members is up. Tests replace it to break links.
     std::function<bool(const std::string &, const std::string &)> link =
         [](const std::string &, const std::string &) { return true; };
+    /// Members that neither run nor answer.
     std::set<std::string> frozen;
     std::size_t messages = 0;
 
 private:
-    void step()
+    void runTick()
     {
         std::vector<std::string> names;
         for (auto it = m_nodes.begin(); it != m_nodes.end(); ++it)
@@ -79,7 +81,7 @@
             return;
         }
         if (!link(from, call.to) || frozen.contains(call.to))
-            return; // silence: the sender times out by itself
+            return; // no answer: the call times out at the sender
         const std::uint64_t relayId = m_nextRelay++;
         const std::optional<gossip_answer> answer =
             target->second->onRequest(m_now, call.request, relayId);
@@ -91,10 +93,10 @@
 
     void answerRelay(const std::pair<std::uint64_t, bool> &relayed)
     {
-        const std::pair<std::string, std::uint64_t> asker = m_relays[relayed.first];
-        if (m_nodes.contains(asker.first))
-            m_nodes[asker.first]->onAnswer(m_now, asker.second,
-                                           gossip_relayed {.reached = relayed.second});
+        const std::pair<std::string, std::uint64_t> requester = m_relays[relayed.first];
+        if (m_nodes.contains(requester.first))
+            m_nodes[requester.first]->onAnswer(m_now, requester.second,
+                                               gossip_relayed {.reached = relayed.second});
     }
 
     std::uint64_t m_seed;
@@ -104,127 +106,127 @@
     std::uint64_t m_nextRelay = 1;
 };
 
-std::size_t aliveSeenBy(fleet &all, int index)
+std::size_t aliveMembersSeenBy(fleet &testFleet, int index)
 {
     std::size_t alive = 0;
-    for (const member &each : all.node(index).members())
+    for (const member &each : testFleet.node(index).members())
         alive += each.state == member_state::Alive ? 1 : 0;
     return alive;
 }
 
 } // namespace
 
-TEST(Membership, EveryoneFindsEveryoneFromTheSeeds)
+TEST(Membership, MembersDiscoverEachOtherThroughSeeds)
 {
-    fleet all(8);
-    all.run(std::chrono::seconds(15));
+    fleet testFleet(8);
+    testFleet.run(std::chrono::seconds(15));
     for (int i = 0; i < 8; ++i)
-        EXPECT_EQ(aliveSeenBy(all, i), 8u) << i;
+        EXPECT_EQ(aliveMembersSeenBy(testFleet, i), 8u) << i;
 }
 
-TEST(Membership, AFleetStartedTogetherIsOneWithinThreeSeconds)
+TEST(Membership, ConvergesWithinThreeSecondsOfASimultaneousStart)
 {
     for (std::uint64_t seed = 0; seed < 2000; seed += 100) {
-        fleet all(6, seed);
-        all.run(std::chrono::seconds(3));
+        fleet testFleet(6, seed);
+        testFleet.run(std::chrono::seconds(3));
         for (int i = 0; i < 6; ++i)
-            EXPECT_EQ(aliveSeenBy(all, i), 6u) << i << " seed " << seed;
+            EXPECT_EQ(aliveMembersSeenBy(testFleet, i), 6u) << i << " seed " << seed;
     }
 }
 
-TEST(Membership, ACrashedInstanceIsFoundDeadAndItsReturnIsSeen)
+TEST(Membership, DetectsCrashAndRestart)
 {
-    fleet all(8);
-    all.run(std::chrono::seconds(15));
-    all.stop(3);
-    all.run(std::chrono::seconds(20));
+    fleet testFleet(8);
+    testFleet.run(std::chrono::seconds(15));
+    testFleet.stop(3);
+    testFleet.run(std::chrono::seconds(20));
     for (const int i : {0, 1, 2, 4, 5, 6, 7})
-        EXPECT_EQ(aliveSeenBy(all, i), 7u) << i;
-    all.start(3, 2);
-    all.run(std::chrono::seconds(15));
+        EXPECT_EQ(aliveMembersSeenBy(testFleet, i), 7u) << i;
+    testFleet.start(3, 2);
+    testFleet.run(std::chrono::seconds(15));
     for (int i = 0; i < 8; ++i)
-        EXPECT_EQ(aliveSeenBy(all, i), 8u) << i;
+        EXPECT_EQ(aliveMembersSeenBy(testFleet, i), 8u) << i;
 }
 
-TEST(Membership, APausedInstanceContradictsItsDeathWhenItResumes)
+TEST(Membership, PausedInstanceRefutesItsDeathWhenItResumes)
 {
-    fleet all(8);
-    all.run(std::chrono::seconds(15));
-    all.frozen.insert(fleet::nameOf(5));
-    all.run(std::chrono::seconds(20));
-    EXPECT_EQ(aliveSeenBy(all, 0), 7u);
-    all.frozen.clear();
-    all.run(std::chrono::seconds(20));
+    fleet testFleet(8);
+    testFleet.run(std::chrono::seconds(15));
+    testFleet.frozen.insert(fleet::nameOf(5));
+    testFleet.run(std::chrono::seconds(20));
+    EXPECT_EQ(aliveMembersSeenBy(testFleet, 0), 7u);
+    testFleet.frozen.clear();
+    testFleet.run(std::chrono::seconds(20));
     for (int i = 0; i < 8; ++i)
-        EXPECT_EQ(aliveSeenBy(all, i), 8u) << i;
+        EXPECT_EQ(aliveMembersSeenBy(testFleet, i), 8u) << i;
 }
 
-TEST(Membership, OneBrokenLinkDoesNotKillAMember)
+TEST(Membership, BrokenLinkBetweenTwoMembersKeepsBothAlive)
 {
-    fleet all(8);
-    all.run(std::chrono::seconds(15));
-    all.link = [](const std::string &from, const std::string &to) {
+    fleet testFleet(8);
+    testFleet.run(std::chrono::seconds(15));
+    testFleet.link = [](const std::string &from, const std::string &to) {
         return !((from == fleet::nameOf(0) && to == fleet::nameOf(1))
                  || (from == fleet::nameOf(1) && to == fleet::nameOf(0)));
     };
     for (int i = 0; i < 60; ++i) {
-        all.run(std::chrono::seconds(1));
-        EXPECT_EQ(aliveSeenBy(all, 0), 8u) << "after " << i << " s";
+        testFleet.run(std::chrono::seconds(1));
+        EXPECT_EQ(aliveMembersSeenBy(testFleet, 0), 8u) << "after " << i << " s";
     }
 }
 
-TEST(Membership, HalvesThatWereCutFindEachOtherAgain)
+TEST(Membership, PartitionedHalvesMergeWhenTheNetworkHeals)
 {
-    fleet all(8);
-    all.run(std::chrono::seconds(15));
-    const auto half = [](const std::string &name) { return name < fleet::nameOf(4); };
-    all.link = [half](const std::string &from, const std::string &to) {
-        return half(from) == half(to);
+    fleet testFleet(8);
+    testFleet.run(std::chrono::seconds(15));
+    const auto isInFirstHalf = [](const std::string &name) { return name < fleet::nameOf(4); };
+    testFleet.link = [isInFirstHalf](const std::string &from, const std::string &to) {
+        return isInFirstHalf(from) == isInFirstHalf(to);
     };
-    all.run(std::chrono::seconds(60));
-    EXPECT_EQ(aliveSeenBy(all, 0), 4u);
-    all.link = [](const std::string &, const std::string &) { return true; };
-    all.run(std::chrono::seconds(60));
+    testFleet.run(std::chrono::seconds(60));
+    EXPECT_EQ(aliveMembersSeenBy(testFleet, 0), 4u);
+    testFleet.link = [](const std::string &, const std::string &) { return true; };
+    testFleet.run(std::chrono::seconds(60));
     for (int i = 0; i < 8; ++i)
-        EXPECT_EQ(aliveSeenBy(all, i), 8u) << i;
+        EXPECT_EQ(aliveMembersSeenBy(testFleet, i), 8u) << i;
 }
 
-TEST(Membership, UrgentNewsReachesEveryoneWithinASecond)
+TEST(Membership, UrgentRumorReachesAllMembersWithinOneSecond)
 {
-    fleet all(40);
-    all.run(std::chrono::seconds(40));
-    all.node(7).publish({.topic = "config", .key = "routes", .version = 9});
-    all.run(std::chrono::seconds(1));
+    fleet testFleet(40);
+    testFleet.run(std::chrono::seconds(40));
+    testFleet.node(7).publish({.topic = "config", .key = "routes", .version = 9});
+    testFleet.run(std::chrono::seconds(1));
     for (int i = 0; i < 40; ++i)
-        EXPECT_NE(all.node(i).rumors().find("config", "routes"), nullptr) << i;
+        EXPECT_NE(testFleet.node(i).rumors().find("config", "routes"), nullptr) << i;
 }
 
-TEST(Membership, MoreUrgentNewsThanAMessageHoldsArrivesWithinFiveSeconds)
+TEST(Membership, UrgentRumorsBeyondOneMessageArriveWithinFiveSeconds)
 {
-    fleet all(8);
-    all.run(std::chrono::seconds(20));
+    fleet testFleet(8);
+    testFleet.run(std::chrono::seconds(20));
     for (int i = 0; i < 100; ++i)
-        all.node(2).publish({.topic = "config",
-                             .key = "object-" + std::to_string(i),
-                             .version = 1,
-                             .payload = std::string(60, 'x')});
-    all.run(std::chrono::seconds(5));
+        testFleet.node(2).publish({.topic = "config",
+                                   .key = "object-" + std::to_string(i),
+                                   .version = 1,
+                                   .payload = std::string(60, 'x')});
+    testFleet.run(std::chrono::seconds(5));
     for (int i = 0; i < 8; ++i)
-        EXPECT_EQ(all.node(i).rumors().all("config").size(), 100u) << i;
+        EXPECT_EQ(testFleet.node(i).rumors().all("config").size(), 100u) << i;
 }
 
-TEST(Membership, MessagesOfANodeDoNotGrowWithTheFleet)
+TEST(Membership, MessageRateOfANodeDoesNotGrowWithTheFleet)
 {
     const auto perNodeSecond = [](int size) {
-        fleet all(size);
-        all.run(std::chrono::seconds(40));
-        all.messages = 0;
-        all.run(std::chrono::seconds(20));
-        return static_cast<double>(all.messages) / size / 20;
+        fleet testFleet(size);
+        testFleet.run(std::chrono::seconds(40));
+        testFleet.messages = 0;
+        testFleet.run(std::chrono::seconds(20));
+        return static_cast<double>(testFleet.messages) / size / 20;
     };
-    const double small = perNodeSecond(8);
-    const double large = perNodeSecond(80);
-    EXPECT_LT(large, small * 1.2);
+    const double smallFleetRate = perNodeSecond(8);
+    const double largeFleetRate = perNodeSecond(80);
+    EXPECT_LT(largeFleetRate, smallFleetRate * 1.2);
 }
 
 } // namespace trefoil
--- a/libs/gossip/tests/rumor_store_test.cpp
+++ b/libs/gossip/tests/rumor_store_test.cpp
@@ -4,7 +4,7 @@
 
 namespace trefoil {
 
-TEST(RumorStore, OlderVersionsAreIgnored)
+TEST(RumorStore, IgnoresVersionsThatAreNotNewer)
 {
     rumor_store store;
     EXPECT_TRUE(store.merge({.topic = "config", .key = "routes", .version = 5}));
@@ -13,7 +13,7 @@
     EXPECT_EQ(store.find("config", "routes")->version, 5u);
 }
 
-TEST(RumorStore, PicksTheLeastSentFirstWithinTheBytesAndTheSends)
+TEST(RumorStore, PicksLeastSentRumorsWithinByteAndSendLimits)
 {
     rumor_store store;
     for (int i = 0; i < 10; ++i)
@@ -26,7 +26,7 @@
     EXPECT_EQ(total, 20u); // ten rumors, two sends each
 }
 
-TEST(RumorStore, HashesTellWhichBucketsDiffer)
+TEST(RumorStore, HashesIdentifyDifferingBuckets)
 {
     rumor_store a;
     rumor_store b;
