--- a/libs/control/src/traffic_desk.cpp
+++ b/libs/control/src/traffic_desk.cpp
@@ -244,7 +244,7 @@
 
 void traffic_desk::stepClaim(timestamp now, request_state &state)
 {
-    const std::string name = claimName(state.begin.team, state.begin.idempotencyKey);
+    const std::string name = claimObjectName(state.begin.team, state.begin.idempotencyKey);
     switch (state.once->step()) {
     case claim_step::Create:
         m_claimCalls.push_back({.kind = claim_call::operation::Create,
@@ -398,11 +398,12 @@
     // A claim whose request was surely not run is given back, so that the caller may repeat it.
     const bool isHeld = state.once && state.once->step() == claim_step::Send;
     if (isHeld && !state.mayHaveRun)
-        m_claimCalls.push_back({.kind = claim_call::operation::Answer,
-                                .id = id,
-                                .name = claimName(state.begin.team, state.begin.idempotencyKey),
-                                .text = state.once->releasedText(),
-                                .expected = state.claimVersion});
+        m_claimCalls.push_back(
+            {.kind = claim_call::operation::Answer,
+             .id = id,
+             .name = claimObjectName(state.begin.team, state.begin.idempotencyKey),
+             .text = state.once->releasedText(),
+             .expected = state.claimVersion});
     m_decisions.push_back({.id = id, .what = std::move(refusal), .validUntil = now + decisionLife});
     m_limits.finish(now, id, 0);
     m_requests.erase(id);
@@ -510,11 +511,12 @@
         kept.status = report.status;
         kept.contentType = report.contentType;
         kept.answer = report.answer;
-        m_claimCalls.push_back({.kind = claim_call::operation::Answer,
-                                .id = report.id,
-                                .name = claimName(state->begin.team, state->begin.idempotencyKey),
-                                .text = toText(kept),
-                                .expected = state->claimVersion});
+        m_claimCalls.push_back(
+            {.kind = claim_call::operation::Answer,
+             .id = report.id,
+             .name = claimObjectName(state->begin.team, state->begin.idempotencyKey),
+             .text = toText(kept),
+             .expected = state->claimVersion});
     }
     m_requests.erase(report.id);
 }
--- a/libs/delivery/include/delivery/retry_budget.h
+++ b/libs/delivery/include/delivery/retry_budget.h
@@ -2,22 +2,22 @@
 
 namespace trefoil {
 
-/// Bounds retries to a share of the traffic, so that a failing pool is not met with more load than
-/// a healthy one. Not thread-safe.
+/// Limits retries to a share of the requests, so that retries don't overload a failing pool. Unused
+/// retries are saved up to a limit. Not thread-safe.
 class retry_budget
 {
 public:
-    /// Retries for each request in the long run.
+    /// Average number of retries allowed per request.
     static constexpr double retriesPerRequest = 0.1;
 
-    /// Notes a request, which earns a part of a retry.
+    /// Counts a request, which adds retriesPerRequest to the budget.
     void noteRequest();
-    /// Takes one retry. Returns false when the budget is spent.
+    /// Takes one retry from the budget. Returns false if the budget is exhausted.
     bool takeRetry();
 
 private:
-    // Starts with a few, so that the first failures after a start can be retried.
-    double m_level = 3;
+    // Not 0, so that the first failures after a start can be retried.
+    double m_availableRetries = 3;
 };
 
 } // namespace trefoil
--- a/libs/delivery/src/claim.cpp
+++ b/libs/delivery/src/claim.cpp
@@ -7,10 +7,10 @@
 
 namespace {
 
-/// Reads of a claim whose creation has an unknown outcome.
-constexpr int maxReads = 3;
+/// Maximum reads of a claim whose creation has an unknown outcome.
+constexpr int maxClaimReads = 3;
 
-// The platform's error codes, repeated here because this library does not depend on its client.
+// Error codes of the platform, repeated here because this library does not depend on its client.
 constexpr const char *conflictCode = "conflict";
 constexpr const char *unknownCode = "unknown-outcome";
 
@@ -47,18 +47,18 @@
     return record;
 }
 
-std::string claimName(std::string_view team, std::string_view key)
+std::string claimObjectName(std::string_view team, std::string_view key)
 {
     return "claims/" + std::string(team) + "/" + toHex(digestOf(key, digestOf(team)));
 }
 
 claim::claim(std::string claimant, std::string body)
 {
-    m_own.claimant = std::move(claimant);
-    m_own.body = std::move(body);
+    m_ownRecord.claimant = std::move(claimant);
+    m_ownRecord.body = std::move(body);
 }
 
-std::string claim::text() const { return toText(m_own); }
+std::string claim::text() const { return toText(m_ownRecord); }
 
 void claim::onCreated(const result<std::uint64_t> &outcome)
 {
@@ -72,7 +72,7 @@
 
 std::string claim::releasedText() const
 {
-    claim_record record = m_own;
+    claim_record record = m_ownRecord;
     record.released = true;
     return toText(record);
 }
@@ -80,9 +80,9 @@
 void claim::onRead(const result<std::string> &outcome, std::uint64_t version)
 {
     if (!outcome) {
-        // Not found, or no answer: the creation may still take effect. Nothing was sent.
+        // Not found, or no answer. The creation may still take effect; the request was not sent.
         ++m_reads;
-        m_step = m_reads < maxReads ? claim_step::Read : claim_step::RefuseNotRun;
+        m_step = m_reads < maxClaimReads ? claim_step::Read : claim_step::RefuseNotRun;
         return;
     }
     const std::optional<claim_record> found = claimFromText(*outcome);
@@ -90,12 +90,12 @@
         m_step = claim_step::RefuseUnknown;
         return;
     }
-    if (found->claimant == m_own.claimant) {
-        m_step = claim_step::Send; // our creation took effect, only its answer was lost
+    if (found->claimant == m_ownRecord.claimant) {
+        m_step = claim_step::Send; // the creation succeeded, but its answer was lost
     } else if (found->released) {
         m_expected = version;
         m_step = claim_step::Create;
-    } else if (found->body != m_own.body) {
+    } else if (found->body != m_ownRecord.body) {
         m_step = claim_step::RefuseMismatch;
     } else if (found->answered) {
         m_step = claim_step::Replay;
--- a/libs/delivery/src/retry_budget.cpp
+++ b/libs/delivery/src/retry_budget.cpp
@@ -6,18 +6,21 @@
 
 namespace {
 
-/// Retries saved up at most: a crash of one server cuts about this many requests at once.
-constexpr double maxLevel = 20;
+/// Maximum saved retries. The crash of one server interrupts about this many requests at once.
+constexpr double maxSavedRetries = 20;
 
 } // namespace
 
-void retry_budget::noteRequest() { m_level = std::min(maxLevel, m_level + retriesPerRequest); }
+void retry_budget::noteRequest()
+{
+    m_availableRetries = std::min(maxSavedRetries, m_availableRetries + retriesPerRequest);
+}
 
 bool retry_budget::takeRetry()
 {
-    if (m_level < 1)
+    if (m_availableRetries < 1)
         return false;
-    m_level -= 1;
+    m_availableRetries -= 1;
     return true;
 }
 
--- a/libs/delivery/src/event_parser.cpp
+++ b/libs/delivery/src/sse_parser.cpp
@@ -1,11 +1,12 @@
-#include <delivery/event_parser.h>
+#include <delivery/sse_parser.h>
 
 namespace trefoil {
 
 namespace {
 
-/// Returns the value of "field: value" in @p line, without the one optional space.
-std::string_view valueAfter(std::string_view line, std::size_t nameLength)
+/// Returns the value of a "field:value" line, without the optional space after the colon.
+/// @p nameLength includes the colon.
+std::string_view fieldValue(std::string_view line, std::size_t nameLength)
 {
     std::string_view value = line.substr(nameLength);
     if (value.starts_with(' '))
@@ -15,8 +16,7 @@
 
 } // namespace
 
-bool event_parser::feed(std::string_view bytes,
-                        const std::function<void(const server_event &)> &visit)
+bool sse_parser::feed(std::string_view bytes, const std::function<void(const sse_event &)> &onEvent)
 {
     while (!bytes.empty()) {
         const std::size_t end = bytes.find('\n');
@@ -34,29 +34,29 @@
             return false;
         if (line.ends_with('\r'))
             line.remove_suffix(1);
-        takeLine(line, visit);
+        processLine(line, onEvent);
         m_line.clear();
     }
     return true;
 }
 
-void event_parser::takeLine(std::string_view line,
-                            const std::function<void(const server_event &)> &visit)
+void sse_parser::processLine(std::string_view line,
+                             const std::function<void(const sse_event &)> &onEvent)
 {
     if (line.empty()) {
         if (m_hasData)
-            visit({.id = m_id, .data = m_data});
+            onEvent({.id = m_id, .data = m_data});
         m_id.clear();
         m_data.clear();
         m_hasData = false;
         return;
     }
     if (line.starts_with("id:")) {
-        m_id = valueAfter(line, 3);
+        m_id = fieldValue(line, 3);
     } else if (line.starts_with("data:")) {
         if (m_hasData)
             m_data += '\n';
-        m_data += valueAfter(line, 5);
+        m_data += fieldValue(line, 5);
         m_hasData = true;
     }
 }
--- a/libs/delivery/src/stream_assembler.cpp
+++ b/libs/delivery/src/stream_assembler.cpp
@@ -6,11 +6,11 @@
 
 std::uint64_t stream_assembler::begin()
 {
-    m_unnumbered = m_next;
+    m_nextUnnumbered = m_next;
     return ++m_attempt;
 }
 
-stream_step stream_assembler::take(std::uint64_t attempt, const server_event &event)
+stream_step stream_assembler::take(std::uint64_t attempt, const sse_event &event)
 {
     if (attempt != m_attempt || m_complete)
         return stream_step::Stale;
@@ -20,7 +20,7 @@
         m_complete = true;
         return stream_step::Complete;
     }
-    std::uint64_t number = m_unnumbered;
+    std::uint64_t number = m_nextUnnumbered;
     if (!event.id.empty()) {
         const char *end = event.id.data() + event.id.size();
         const std::from_chars_result parsed = std::from_chars(event.id.data(), end, number);
@@ -32,7 +32,7 @@
     if (number > m_next)
         return stream_step::Gap;
     ++m_next;
-    m_unnumbered = m_next;
+    m_nextUnnumbered = m_next;
     return stream_step::Deliver;
 }
 
--- a/libs/delivery/src/retry_window.cpp
+++ b/libs/delivery/src/windowed_retry_budget.cpp
@@ -1,8 +1,8 @@
-#include <delivery/retry_window.h>
+#include <delivery/windowed_retry_budget.h>
 
 namespace trefoil {
 
-void retry_window::prune(timestamp now)
+void windowed_retry_budget::prune(timestamp now)
 {
     while (!m_requests.empty() && now - m_requests.front() > m_options.length)
         m_requests.pop_front();
@@ -10,18 +10,18 @@
         m_retries.pop_front();
 }
 
-void retry_window::noteRequest(timestamp now)
+void windowed_retry_budget::noteRequest(timestamp now)
 {
     prune(now);
     m_requests.push_back(now);
 }
 
-bool retry_window::takeRetry(timestamp now)
+bool windowed_retry_budget::takeRetry(timestamp now)
 {
     prune(now);
-    const double most =
-        m_options.extra + m_options.retriesPerRequest * static_cast<double>(m_requests.size());
-    if (static_cast<double>(m_retries.size()) + 1 > most)
+    const double maxRetries = m_options.extraRetries
+        + m_options.retriesPerRequest * static_cast<double>(m_requests.size());
+    if (static_cast<double>(m_retries.size()) + 1 > maxRetries)
         return false;
     m_retries.push_back(now);
     return true;
--- a/libs/delivery/tests/claim_test.cpp
+++ b/libs/delivery/tests/claim_test.cpp
@@ -4,81 +4,81 @@
 
 namespace trefoil {
 
-TEST(Claim, ACreatedClaimSends)
+TEST(Claim, SendsAfterCreation)
 {
-    claim once("a/1", "body");
-    EXPECT_EQ(once.step(), claim_step::Create);
-    once.onCreated(std::uint64_t {5});
-    EXPECT_EQ(once.step(), claim_step::Send);
+    claim ownClaim("a/1", "body");
+    EXPECT_EQ(ownClaim.step(), claim_step::Create);
+    ownClaim.onCreated(std::uint64_t {5});
+    EXPECT_EQ(ownClaim.step(), claim_step::Send);
 }
 
-TEST(Claim, ALostAnswerOfOurOwnCreationStillSends)
+TEST(Claim, SendsWhenAnswerOfOwnCreationWasLost)
 {
-    claim once("a/1", "body");
-    once.onCreated(failure("unknown-outcome", ""));
-    EXPECT_EQ(once.step(), claim_step::Read);
-    once.onRead(once.text(), 1);
-    EXPECT_EQ(once.step(), claim_step::Send);
+    claim ownClaim("a/1", "body");
+    ownClaim.onCreated(failure("unknown-outcome", ""));
+    EXPECT_EQ(ownClaim.step(), claim_step::Read);
+    ownClaim.onRead(ownClaim.text(), 1);
+    EXPECT_EQ(ownClaim.step(), claim_step::Send);
 }
 
-TEST(Claim, ARepeatThroughAnotherInstanceIsRefusedOrReplayed)
+TEST(Claim, RefusesOrReplaysRetryThroughAnotherInstance)
 {
-    claim_record other {.claimant = "b/9", .body = "body"};
-    claim once("a/1", "body");
-    once.onCreated(failure("conflict", ""));
-    once.onRead(toText(other), 1);
-    EXPECT_EQ(once.step(), claim_step::RefuseUnknown);
+    claim_record otherRecord {.claimant = "b/9", .body = "body"};
+    claim ownClaim("a/1", "body");
+    ownClaim.onCreated(failure("conflict", ""));
+    ownClaim.onRead(toText(otherRecord), 1);
+    EXPECT_EQ(ownClaim.step(), claim_step::RefuseUnknown);
 
-    other.answered = true;
-    other.status = 201;
-    other.answer = "booked";
-    claim again("a/2", "body");
-    again.onCreated(failure("conflict", ""));
-    again.onRead(toText(other), 2);
-    ASSERT_EQ(again.step(), claim_step::Replay);
-    EXPECT_EQ(again.recorded(), other);
+    otherRecord.answered = true;
+    otherRecord.status = 201;
+    otherRecord.answer = "booked";
+    claim secondClaim("a/2", "body");
+    secondClaim.onCreated(failure("conflict", ""));
+    secondClaim.onRead(toText(otherRecord), 2);
+    ASSERT_EQ(secondClaim.step(), claim_step::Replay);
+    EXPECT_EQ(secondClaim.recorded(), otherRecord);
 }
 
-TEST(Claim, AKeyReusedForAnotherRequestIsRefusedAsNotRun)
+TEST(Claim, RefusesKeyReusedForAnotherRequest)
 {
-    claim once("a/1", "body");
-    once.onCreated(failure("conflict", ""));
-    once.onRead(toText({.claimant = "b/9", .body = "different"}), 1);
-    EXPECT_EQ(once.step(), claim_step::RefuseMismatch);
+    claim ownClaim("a/1", "body");
+    ownClaim.onCreated(failure("conflict", ""));
+    ownClaim.onRead(toText({.claimant = "b/9", .body = "different"}), 1);
+    EXPECT_EQ(ownClaim.step(), claim_step::RefuseMismatch);
 }
 
-TEST(Claim, WithoutThePlatformNothingIsSent)
+TEST(Claim, RefusesWhenPlatformIsUnavailable)
 {
-    claim out("a/1", "body");
-    out.onCreated(failure("unavailable", ""));
-    EXPECT_EQ(out.step(), claim_step::RefuseNotRun);
+    claim unavailableClaim("a/1", "body");
+    unavailableClaim.onCreated(failure("unavailable", ""));
+    EXPECT_EQ(unavailableClaim.step(), claim_step::RefuseNotRun);
 
-    claim lost("a/2", "body");
-    lost.onCreated(failure("unknown-outcome", ""));
+    claim unknownClaim("a/2", "body");
+    unknownClaim.onCreated(failure("unknown-outcome", ""));
     for (int i = 0; i < 3; ++i) {
-        EXPECT_EQ(lost.step(), claim_step::Read);
-        lost.onRead(failure("unavailable", ""), 0);
+        EXPECT_EQ(unknownClaim.step(), claim_step::Read);
+        unknownClaim.onRead(failure("unavailable", ""), 0);
     }
-    EXPECT_EQ(lost.step(), claim_step::RefuseNotRun);
+    EXPECT_EQ(unknownClaim.step(), claim_step::RefuseNotRun);
 }
 
-TEST(Claim, AReleasedClaimIsTakenAgainByConditionalUpdate)
+TEST(Claim, RecreatesReleasedClaimByConditionalUpdate)
 {
-    const claim first("b/9", "body");
-    claim once("a/1", "body");
-    once.onCreated(failure("conflict", ""));
-    once.onRead(first.releasedText(), 7);
-    EXPECT_EQ(once.step(), claim_step::Create);
-    EXPECT_EQ(once.expected(), 7u);
-    once.onCreated(failure("conflict", "")); // another repeat was faster
-    once.onRead(toText({.claimant = "c/3", .body = "body"}), 8);
-    EXPECT_EQ(once.step(), claim_step::RefuseUnknown);
+    const claim otherClaim("b/9", "body");
+    claim ownClaim("a/1", "body");
+    ownClaim.onCreated(failure("conflict", ""));
+    ownClaim.onRead(otherClaim.releasedText(), 7);
+    EXPECT_EQ(ownClaim.step(), claim_step::Create);
+    EXPECT_EQ(ownClaim.expected(), 7u);
+    ownClaim.onCreated(failure("conflict", "")); // another retry updated it first
+    ownClaim.onRead(toText({.claimant = "c/3", .body = "body"}), 8);
+    EXPECT_EQ(ownClaim.step(), claim_step::RefuseUnknown);
 }
 
-TEST(Claim, NamesOfTeamsAndKeysDoNotMeet)
+TEST(Claim, ObjectNamesAreDistinctAndMalformedTextIsRejected)
 {
-    EXPECT_NE(claimName("a", "k"), claimName("b", "k"));
-    EXPECT_NE(claimName("a", "k"), claimName("a", "l"));
+    EXPECT_NE(claimObjectName("a", "k"), claimObjectName("b", "k"));
+    EXPECT_NE(claimObjectName("a", "k"), claimObjectName("a", "l"));
     EXPECT_FALSE(claimFromText("{}").has_value());
     EXPECT_FALSE(claimFromText("nonsense").has_value());
 }
--- a/libs/delivery/tests/retry_budget_test.cpp
+++ b/libs/delivery/tests/retry_budget_test.cpp
@@ -4,7 +4,7 @@
 
 namespace trefoil {
 
-TEST(RetryBudget, RetriesStayWithinATenthOfTheTraffic)
+TEST(RetryBudget, LimitsRetriesToATenthOfTheRequests)
 {
     retry_budget budget;
     int retries = 0;
--- a/libs/delivery/tests/stream_assembler_test.cpp
+++ b/libs/delivery/tests/stream_assembler_test.cpp
@@ -10,23 +10,23 @@
 
 namespace {
 
-server_event token(std::string_view id) { return {.id = id, .data = "{}"}; }
+sse_event token(std::string_view id) { return {.id = id, .data = "{}"}; }
 
-const server_event endMarker {.id = "", .data = streamEnd};
+const sse_event endMarker {.id = "", .data = streamEnd};
 
 } // namespace
 
-TEST(EventParser, JoinsPiecesAndLines)
+TEST(SseParser, JoinsChunksAndDataLines)
 {
-    event_parser parser;
+    sse_parser parser;
     std::vector<std::string> seen;
-    const auto collect = [&](const server_event &event) {
+    const auto collect = [&](const sse_event &event) {
         seen.push_back(std::string(event.id) + "=" + std::string(event.data));
     };
     EXPECT_TRUE(parser.feed("id: 0\r\nda", collect));
     EXPECT_TRUE(parser.feed("ta: a\n\n: comment\ndata: b\ndata: c\n\n", collect));
     EXPECT_EQ(seen, (std::vector<std::string> {"0=a", "=b\nc"}));
-    EXPECT_FALSE(parser.feed(std::string(event_parser::maxLineBytes + 1, 'x'), collect));
+    EXPECT_FALSE(parser.feed(std::string(sse_parser::maxLineBytes + 1, 'x'), collect));
 }
 
 TEST(StreamAssembler, ResumesWithoutLossOrRepetition)
@@ -44,7 +44,7 @@
     EXPECT_EQ(stream.take(second, endMarker), stream_step::Stale);
 }
 
-TEST(StreamAssembler, NoticesGapsAndEmptyAnswers)
+TEST(StreamAssembler, DetectsGapsAndEmptyAnswers)
 {
     stream_assembler stream;
     std::uint64_t attempt = stream.begin();
@@ -55,7 +55,7 @@
     EXPECT_FALSE(stream.isComplete());
 }
 
-TEST(StreamAssembler, CountsEventsWithoutNumbers)
+TEST(StreamAssembler, NumbersEventsWithoutId)
 {
     stream_assembler stream;
     std::uint64_t attempt = stream.begin();
@@ -65,26 +65,28 @@
     EXPECT_EQ(stream.next(), 2u);
 }
 
-/// Whatever is cut, repeated, crossed or late, the caller sees 0, 1, 2, ... once each.
-TEST(StreamAssembler, AnyMixOfAttemptsGivesOneOrderedStream)
+/// Whichever events are lost, repeated, reordered or from an earlier attempt, the client gets
+/// tokens 0, 1, 2, ... once each.
+TEST(StreamAssembler, DeliversEachTokenOnceInOrderAcrossAttempts)
 {
     for (std::uint64_t seed = 1; seed <= 200; ++seed) {
         std::mt19937_64 random(seed);
         stream_assembler stream;
         std::vector<std::uint64_t> attempts {stream.begin()};
         std::uint64_t delivered = 0;
-        std::uint64_t source = 0;
+        std::uint64_t nextNumber = 0;
         for (int step = 0; step < 500 && !stream.isComplete(); ++step) {
             const std::uint64_t attempt = attempts[random() % attempts.size()];
-            const std::uint64_t number = random() % 4 == 0 ? random() % (source + 3) : source;
+            const std::uint64_t number =
+                random() % 4 == 0 ? random() % (nextNumber + 3) : nextNumber;
             const std::string id = std::to_string(number);
-            const stream_step taken = stream.take(attempt, token(id));
-            if (taken == stream_step::Deliver) {
+            const stream_step decision = stream.take(attempt, token(id));
+            if (decision == stream_step::Deliver) {
                 ASSERT_EQ(number, delivered) << "seed " << seed;
                 ++delivered;
             }
-            source = stream.next();
-            if (taken == stream_step::Gap || random() % 20 == 0)
+            nextNumber = stream.next();
+            if (decision == stream_step::Gap || random() % 20 == 0)
                 attempts.push_back(stream.begin());
         }
         EXPECT_EQ(delivered, stream.next());
--- a/trefoilrouter/src/edge/edge_state.cpp
+++ b/trefoilrouter/src/edge/edge_state.cpp
@@ -23,11 +23,11 @@
 /// A placed request may wait this long at its server before it begins, under a burst.
 constexpr duration longestServerWait = std::chrono::milliseconds(1500);
 
-retry_window_options budgetOptionsOf(const platform_settings &settings)
+windowed_retry_budget_options budgetOptionsOf(const platform_settings &settings)
 {
     return {.length = settings.retryWindow,
             .retriesPerRequest = settings.retriesPerRequest * budgetUse,
-            .extra = extraRetriesOf(settings, leastSharers)};
+            .extraRetries = extraRetriesOf(settings, leastSharers)};
 }
 
 } // namespace
@@ -43,9 +43,9 @@
 
 void edge_beliefs::shareRetries(const platform_settings &settings, std::size_t instances)
 {
-    budgetOptions.extra = extraRetriesOf(settings, instances);
+    budgetOptions.extraRetries = extraRetriesOf(settings, instances);
     for (auto it = budgets.begin(); it != budgets.end(); ++it)
-        it->second.setExtra(budgetOptions.extra);
+        it->second.setExtraRetries(budgetOptions.extraRetries);
 }
 
 edge_state::edge_state(const platform_settings &settings)
--- a/trefoilrouter/src/edge/edge_state.h
+++ b/trefoilrouter/src/edge/edge_state.h
@@ -10,7 +10,7 @@
 
 #include <adapter/platform_settings.h>
 #include <core/clock.h>
-#include <delivery/retry_window.h>
+#include <delivery/windowed_retry_budget.h>
 #include <dispatch/load_board.h>
 #include <dispatch/member_table.h>
 #include <dispatch/peer_report.h>
@@ -37,8 +37,8 @@
     /// Crashes seen here, told to the others until they are old.
     std::vector<std::pair<timestamp, crash_note>> ownCrashes;
     /// Retries by service.
-    std::map<std::string, retry_window, std::less<>> budgets;
-    retry_window_options budgetOptions;
+    std::map<std::string, windowed_retry_budget, std::less<>> budgets;
+    windowed_retry_budget_options budgetOptions;
     /// Shares the extra retries between @p instances.
     void shareRetries(const platform_settings &settings, std::size_t instances);
     /// Servers that another holder of the duty loads, with the time of its last report of it.
--- a/trefoilrouter/src/proxy.cpp
+++ b/trefoilrouter/src/proxy.cpp
@@ -211,10 +211,10 @@
 
 proxy::attempt_end proxy::readStream(backend_exchange &exchange)
 {
-    event_parser parser;
+    sse_parser parser;
     std::array<char, pieceBytes> piece {};
     attempt_end end = attempt_end::GoOn;
-    const auto take = [&](const server_event &event) {
+    const auto take = [&](const sse_event &event) {
         if (end != attempt_end::GoOn)
             return;
         if (event.data != streamEnd)
@@ -241,7 +241,7 @@
     return end;
 }
 
-proxy::attempt_end proxy::takeEvent(const server_event &event)
+proxy::attempt_end proxy::takeEvent(const sse_event &event)
 {
     switch (m_assembler.take(m_attempt, event)) {
     case stream_step::Deliver:
--- a/trefoilrouter/src/proxy.h
+++ b/trefoilrouter/src/proxy.h
@@ -8,7 +8,7 @@
 #include <vector>
 
 #include <control/control_node.h>
-#include <delivery/event_parser.h>
+#include <delivery/sse_parser.h>
 #include <delivery/stream_assembler.h>
 #include <telemetry/metrics.h>
 #include <telemetry/span.h>
@@ -81,7 +81,7 @@
     attempt_end attempt(const traffic_go &go);
     attempt_end readWhole(backend_exchange &exchange);
     attempt_end readStream(backend_exchange &exchange);
-    attempt_end takeEvent(const server_event &event);
+    attempt_end takeEvent(const sse_event &event);
     backend_request makeRequest(const traffic_go &go) const;
     void noteFirstToken(const backend_exchange &exchange);
     void finish(bool answered);
