--- a/libs/gossip/include/gossip/rumor_store.h
+++ b/libs/gossip/include/gossip/rumor_store.h
@@ -69,7 +69,8 @@
     static std::uint64_t hashOf(const rumor &item);
 
     std::map<entry_key, entry> m_entries;
-    /// Keys of entries that may still be sent, by number of sends. May hold outdated keys.
+    /// Keys of the entries that may still be sent, by number of sends, so that pick() need not scan
+    /// all entries. May hold outdated keys.
     std::map<int, std::vector<entry_key>> m_pending;
     bucket_hashes m_hashes {};
 };
--- a/libs/routing/src/prefix_chain.cpp
+++ b/libs/routing/src/prefix_chain.cpp
@@ -20,8 +20,8 @@
     m_bytes += text.size();
     while (!text.empty()) {
         const std::size_t length = std::min(text.size(), blockBytes - m_partialBytes);
-        // The length of what came before is implied by the chain, except inside a block, where the
-        // boundaries of pieces would otherwise be invisible.
+        // Each piece of a block is chained separately, so that the digest also depends on where one
+        // part of the prompt ends and the next begins.
         m_partial = digestOf(text.substr(0, length), m_partial);
         m_partialBytes += length;
         text.remove_prefix(length);
