--- a/libs/control/benchmarks/bench_capacity.cpp
+++ b/libs/control/benchmarks/bench_capacity.cpp
@@ -239,7 +239,7 @@
             for (const prefix_chain &chain : chains) {
                 const std::optional<placement_choice> choice =
                     pool.choose(now, {.chain = &chain, .zone = "a"});
-                pool.noteSent(now, choice->server, chain, choice->believedBlocks);
+                pool.noteSent(now, choice->server, chain, choice->estimatedCachedBlocks);
             }
         });
         const double allocations =
@@ -263,7 +263,7 @@
         for (int i = 0; i < blocks; ++i)
             digests.push_back(digestOf(std::to_string(i)));
         const double before = heapBytes();
-        cache_belief belief("v1", 1);
+        cache_estimate belief("v1", 1);
         const timestamp now {std::chrono::seconds(100)};
         const double seconds = measureSeconds([&] {
             for (int i = 0; i < blocks; ++i)
--- a/libs/control/include/control/request_coordinator.h
+++ b/libs/control/include/control/request_coordinator.h
@@ -19,7 +19,7 @@
 #include <limits/limit_node.h>
 #include <rollout/evidence.h>
 #include <rollout/rollout_driver.h>
-#include <routing/crash_ledger.h>
+#include <routing/crash_tracker.h>
 #include <routing/placement.h>
 
 namespace trefoil {
@@ -96,7 +96,7 @@
     /// Identifier of the attempt, unique within this instance.
     std::uint64_t attempt = 0;
     /// Leading prompt blocks that the server is expected to have cached.
-    std::size_t believedBlocks = 0;
+    std::size_t estimatedCachedBlocks = 0;
 };
 /// Refuse the request with an error.
 struct refuse_decision
@@ -272,7 +272,7 @@
     std::map<std::string, rollout_record, std::less<>> m_rollouts;
     std::map<std::string, evidence> m_evidence;
     std::map<outcome_key, outcome_counts> m_outcomes;
-    crash_ledger m_crashes;
+    crash_tracker m_crashes;
     std::map<std::uint64_t, request_state> m_requests;
     std::vector<request_decision> m_decisions;
     std::vector<claim_call> m_claimCalls;
--- a/libs/control/src/request_coordinator.cpp
+++ b/libs/control/src/request_coordinator.cpp
@@ -234,7 +234,7 @@
     }
     // Checked before the claim is created, because a claim object can't be removed afterwards.
     const auto pool = m_pools.find(state.request.pool);
-    if (pool == m_pools.end() || pool->second.usable(now).empty()) {
+    if (pool == m_pools.end() || pool->second.availableServers(now).empty()) {
         refuse(now, state,
                {.status = 503,
                 .code = "no-server",
@@ -251,7 +251,7 @@
 
 void request_coordinator::advanceClaim(timestamp now, request_state &state)
 {
-    const std::string name = claimName(state.request.team, state.request.idempotencyKey);
+    const std::string name = claimObjectName(state.request.team, state.request.idempotencyKey);
     switch (state.idempotencyClaim->step()) {
     case claim_step::Create:
         m_claimCalls.push_back({.kind = claim_call::operation::Create,
@@ -386,19 +386,20 @@
     const auto server =
         std::find_if(table->servers.begin(), table->servers.end(),
                      [&](const backend_server &s) { return s.name == choice->server; });
-    pool->second.noteSent(now, choice->server, state.request.chain, choice->believedBlocks);
+    pool->second.noteSent(now, choice->server, state.request.chain, choice->estimatedCachedBlocks);
     state.stage = request_stage::Sent;
     state.choice = choice;
     state.sentAt = now;
     state.hasFirstToken = false;
     ++state.attempts;
-    m_decisions.push_back({.id = state.request.id,
-                           .action = send_decision {.server = choice->server,
-                                                    .address = server->address,
-                                                    .version = choice->version,
-                                                    .attempt = m_nextAttempt++,
-                                                    .believedBlocks = choice->believedBlocks},
-                           .validUntil = now + decisionValidity});
+    m_decisions.push_back(
+        {.id = state.request.id,
+         .action = send_decision {.server = choice->server,
+                                  .address = server->address,
+                                  .version = choice->version,
+                                  .attempt = m_nextAttempt++,
+                                  .estimatedCachedBlocks = choice->estimatedCachedBlocks},
+         .validUntil = now + decisionValidity});
 }
 
 void request_coordinator::refuse(timestamp now, request_state &state, refuse_decision refusal)
@@ -409,11 +410,12 @@
     const bool holdsClaim =
         state.idempotencyClaim && state.idempotencyClaim->step() == claim_step::Send;
     if (holdsClaim && !state.mayHaveRun)
-        m_claimCalls.push_back({.kind = claim_call::operation::Update,
-                                .id = id,
-                                .name = claimName(state.request.team, state.request.idempotencyKey),
-                                .text = state.idempotencyClaim->releasedText(),
-                                .expected = state.claimVersion});
+        m_claimCalls.push_back(
+            {.kind = claim_call::operation::Update,
+             .id = id,
+             .name = claimObjectName(state.request.team, state.request.idempotencyKey),
+             .text = state.idempotencyClaim->releasedText(),
+             .expected = state.claimVersion});
     m_decisions.push_back(
         {.id = id, .action = std::move(refusal), .validUntil = now + decisionValidity});
     m_limits.finish(now, id, 0);
@@ -429,7 +431,7 @@
     const auto pool = m_pools.find(state->request.pool);
     if (pool != m_pools.end())
         pool->second.noteFirstToken(now, state->choice->server, state->request.chain,
-                                    state->choice->believedBlocks, report.cachedTokens);
+                                    state->choice->estimatedCachedBlocks, report.cachedTokens);
     const double seconds = toSeconds(now - state->sentAt);
     const double expected = std::max(0.0, state->choice->expectedSeconds);
     const bool slow = seconds > slowFactor * expected + slowMarginSeconds;
@@ -455,7 +457,8 @@
     const auto pool = m_pools.find(state->request.pool);
     if (pool != m_pools.end()) {
         if (!state->hasFirstToken)
-            pool->second.noteAborted(server, state->request.chain, state->choice->believedBlocks);
+            pool->second.noteAborted(server, state->request.chain,
+                                     state->choice->estimatedCachedBlocks);
         if (indicatesServerDown(report.kind))
             pool->second.setDown(server, now + serverDownPeriod);
     }
@@ -511,7 +514,7 @@
     const auto pool = m_pools.find(state->request.pool);
     if (state->choice && !state->hasFirstToken && pool != m_pools.end()) {
         pool->second.noteAborted(state->choice->server, state->request.chain,
-                                 state->choice->believedBlocks);
+                                 state->choice->estimatedCachedBlocks);
         if (report.answered)
             recordOutcome(*state, false, false);
     }
@@ -527,7 +530,7 @@
         m_claimCalls.push_back(
             {.kind = claim_call::operation::Update,
              .id = report.id,
-             .name = claimName(state->request.team, state->request.idempotencyKey),
+             .name = claimObjectName(state->request.team, state->request.idempotencyKey),
              .text = toText(record),
              .expected = state->claimVersion});
     }
--- a/trefoilrouter/src/edge/edge_state.cpp
+++ b/trefoilrouter/src/edge/edge_state.cpp
@@ -24,11 +24,11 @@
 /// Time that a placed request may wait at its server during a burst before it starts.
 constexpr duration maxServerWait = std::chrono::milliseconds(1500);
 
-retry_window_options retryBudgetOptionsOf(const platform_settings &settings)
+windowed_retry_budget_options retryBudgetOptionsOf(const platform_settings &settings)
 {
     return {.length = settings.retryWindow,
             .retriesPerRequest = settings.retriesPerRequest * usableRetryFraction,
-            .extra = extraRetriesPerInstance(settings, minRetrySharers)};
+            .extraRetries = extraRetriesPerInstance(settings, minRetrySharers)};
 }
 
 } // namespace
@@ -45,9 +45,9 @@
 
 void routing_state::divideExtraRetries(const platform_settings &settings, std::size_t instances)
 {
-    retryBudgetOptions.extra = extraRetriesPerInstance(settings, instances);
+    retryBudgetOptions.extraRetries = extraRetriesPerInstance(settings, instances);
     for (auto it = retryBudgets.begin(); it != retryBudgets.end(); ++it)
-        it->second.setExtra(retryBudgetOptions.extra);
+        it->second.setExtraRetries(retryBudgetOptions.extraRetries);
 }
 
 edge_state::edge_state(const platform_settings &settings)
--- a/trefoilrouter/src/edge/edge_state.h
+++ b/trefoilrouter/src/edge/edge_state.h
@@ -10,7 +10,7 @@
 
 #include <adapter/platform_settings.h>
 #include <core/clock.h>
-#include <delivery/retry_window.h>
+#include <delivery/windowed_retry_budget.h>
 #include <dispatch/load_balancer.h>
 #include <dispatch/member_table.h>
 #include <dispatch/peer_report.h>
@@ -18,7 +18,7 @@
 #include <dispatch/serving_tables.h>
 #include <dispatch/team_limits.h>
 #include <platform/outage_clock.h>
-#include <routing/crash_ledger.h>
+#include <routing/crash_tracker.h>
 #include <telemetry/metrics.h>
 
 namespace trefoil {
@@ -33,12 +33,12 @@
     team_limits limits;
     member_table members;
     release_shares releases;
-    crash_ledger crashes;
+    crash_tracker crashes;
     /// Crashes seen by this instance, repeated in its reports until they expire.
     std::vector<std::pair<timestamp, crash_record>> localCrashes;
     /// Retry budgets by service.
-    std::map<std::string, retry_window, std::less<>> retryBudgets;
-    retry_window_options retryBudgetOptions;
+    std::map<std::string, windowed_retry_budget, std::less<>> retryBudgets;
+    windowed_retry_budget_options retryBudgetOptions;
     /// Divides the extra retries of the fleet among @p instances.
     void divideExtraRetries(const platform_settings &settings, std::size_t instances);
     /// Servers on which another leader loads weights, by id, with the time it last reported the
