--- a/examples/embedding/main.cpp
+++ b/examples/embedding/main.cpp
@@ -3,7 +3,7 @@
 #include <optional>
 #include <string>
 
-#include <limits/limit_node.h>
+#include <limits/rate_limiter.h>
 
 using namespace trefoil;
 
@@ -25,7 +25,7 @@
     { }
 
     lease_keeper keeper;
-    limit_node limits;
+    rate_limiter limits;
 };
 
 /// Delivers what the members ask of each other and of the store, at once.
@@ -42,7 +42,7 @@
         self.keeper.setFleet(now, known);
         for (const lease_action &action : self.keeper.tick(now)) {
             if (const confirm_call *call = std::get_if<confirm_call>(&action)) {
-                const confirm_answer answer = fleet.at(call->to).keeper.onAsk(now, call->ask);
+                const confirm_answer answer = fleet.at(call->to).keeper.onRequest(now, call->ask);
                 self.keeper.onAnswer(now, call->id, answer);
             } else if (const record_write *write = std::get_if<record_write>(&action)) {
                 stored_record &item = store[write->key];
@@ -63,7 +63,7 @@
         for (const lease_event &event : self.keeper.takeEvents())
             self.limits.onLease(now, event);
         for (const grant_call &call : self.limits.tick(now)) {
-            const grant_answer answer = fleet.at(call.to).limits.onAsk(now, call.ask);
+            const grant_answer answer = fleet.at(call.to).limits.onRequest(now, call.ask);
             self.limits.onAnswer(now, call.id, answer);
         }
     }
--- a/libs/control/benchmarks/bench_capacity.cpp
+++ b/libs/control/benchmarks/bench_capacity.cpp
@@ -11,7 +11,7 @@
 
 #include <core/json.h>
 #include <core/report.h>
-#include <limits/token_account.h>
+#include <limits/token_bucket.h>
 #include <routing/placement.h>
 
 using namespace trefoil;
@@ -187,7 +187,7 @@
         const double seconds = secondsOf(
             [&] { store.take({.name = config_names::routes, .version = 1, .value = text}); });
         lease_keeper keeper({.self = "n", .zone = "a", .keys = shardKeys(32)}, timestamp());
-        limit_node limits({.self = "n"}, keeper);
+        rate_limiter limits({.self = "n"}, keeper);
         std::map<std::string, token_limit, std::less<>> rates;
         for (const team &each : store.view()->routes.teams)
             rates[each.name] = {.rate = static_cast<double>(each.rate),
@@ -281,7 +281,7 @@
     for (const int open : {100, 1000, 10000}) {
         const double before = heapBytes();
         const timestamp start {std::chrono::seconds(100)};
-        token_account account({.rate = 1e9, .burst = 1e12}, start, 1e12);
+        token_bucket account({.rate = 1e9, .burst = 1e12}, start, 1e12);
         std::vector<std::uint64_t> ids;
         for (int i = 0; i < open; ++i)
             ids.push_back(*account.reserve(start, 1000));
@@ -342,7 +342,7 @@
     const auto size = [](const auto &message) {
         return std::to_string(writeJson(toJson(message)).size());
     };
-    const peer_request ask = grant_ask {.from = "entry-1",
+    const peer_request ask = grant_request {.from = "entry-1",
                                         .team = "anchovy",
                                         .needed = 14000,
                                         .queued = 0,
--- a/libs/control/include/control/control_node.h
+++ b/libs/control/include/control/control_node.h
@@ -19,7 +19,7 @@
 #include <core/clock.h>
 #include <gossip/membership.h>
 #include <lease/lease_keeper.h>
-#include <limits/limit_node.h>
+#include <limits/rate_limiter.h>
 
 namespace trefoil {
 
@@ -260,7 +260,7 @@
     std::uint64_t m_wallMilliseconds = 0;
     membership m_members;
     lease_keeper m_leases;
-    limit_node m_limits;
+    rate_limiter m_limits;
     traffic_desk m_traffic;
     rollout_desk m_rollouts;
     platform_link m_link;
--- a/libs/control/include/control/traffic_desk.h
+++ b/libs/control/include/control/traffic_desk.h
@@ -16,7 +16,7 @@
 #include <core/digest.h>
 #include <delivery/claim.h>
 #include <delivery/retry_budget.h>
-#include <limits/limit_node.h>
+#include <limits/rate_limiter.h>
 #include <rollout/evidence.h>
 #include <rollout/rollout_driver.h>
 #include <routing/crash_ledger.h>
@@ -143,7 +143,7 @@
 public:
     /// Precondition: @p limits outlives this object. @p instance and @p incarnation make claims
     /// unique.
-    traffic_desk(limit_node &limits, std::string instance, std::string zone,
+    traffic_desk(rate_limiter &limits, std::string instance, std::string zone,
                  std::uint64_t incarnation, std::uint64_t randomSeed);
 
     /// @name Configuration and fleet
@@ -243,7 +243,7 @@
     request_state *find(std::uint64_t id);
     void updateServers(const std::string &pool);
 
-    limit_node &m_limits;
+    rate_limiter &m_limits;
     std::string m_instance;
     std::string m_zone;
     std::uint64_t m_incarnation;
--- a/libs/control/src/control_names.cpp
+++ b/libs/control/src/control_names.cpp
@@ -3,7 +3,7 @@
 #include <charconv>
 
 #include <control/rollout_desk.h>
-#include <limits/limit_node.h>
+#include <limits/rate_limiter.h>
 
 namespace trefoil {
 
--- a/libs/control/src/control_node.cpp
+++ b/libs/control/src/control_node.cpp
@@ -400,9 +400,9 @@
                                                        const peer_request &request)
 {
     if (const confirm_ask *ask = std::get_if<confirm_ask>(&request))
-        return m_leases.onAsk(now, *ask);
-    if (const grant_ask *ask = std::get_if<grant_ask>(&request))
-        return m_limits.onAsk(now, *ask);
+        return m_leases.onRequest(now, *ask);
+    if (const grant_request *ask = std::get_if<grant_request>(&request))
+        return m_limits.onRequest(now, *ask);
     if (const config_fetch *fetch = std::get_if<config_fetch>(&request)) {
         const object *found = m_configuration.find(fetch->name);
         return found ? *found : object {.name = fetch->name};
--- a/libs/control/src/peer_codec.cpp
+++ b/libs/control/src/peer_codec.cpp
@@ -157,7 +157,7 @@
         }
         return message;
     }
-    Json::Value operator()(const grant_ask &ask) const
+    Json::Value operator()(const grant_request &ask) const
     {
         Json::Value message = start("grant");
         message["from"] = ask.from;
@@ -265,7 +265,7 @@
 
 result<peer_request> readGrant(const Json::Value &message)
 {
-    grant_ask ask {.from = textOr(message, "from"),
+    grant_request ask {.from = textOr(message, "from"),
                    .team = textOr(message, "team"),
                    .needed = numberOr(message, "needed"),
                    .queued = numberOr(message, "queued"),
--- a/libs/control/src/traffic_desk.cpp
+++ b/libs/control/src/traffic_desk.cpp
@@ -39,7 +39,7 @@
 
 } // namespace
 
-traffic_desk::traffic_desk(limit_node &limits, std::string instance, std::string zone,
+traffic_desk::traffic_desk(rate_limiter &limits, std::string instance, std::string zone,
                            std::uint64_t incarnation, std::uint64_t randomSeed)
     : m_limits(limits), m_instance(std::move(instance)), m_zone(std::move(zone)),
       m_incarnation(incarnation), m_randomSeed(randomSeed),
--- a/libs/lease/include/lease/lease_keeper.h
+++ b/libs/lease/include/lease/lease_keeper.h
@@ -161,7 +161,7 @@
     /// Returns the actions that are due. Called several times an askPeriod.
     std::vector<lease_action> tick(timestamp now);
     /// Answers an owner's request.
-    confirm_answer onAsk(timestamp now, const confirm_ask &ask);
+    confirm_answer onRequest(timestamp now, const confirm_ask &ask);
     /// Takes a successor's answer to call @p id.
     void onAnswer(timestamp now, std::uint64_t id, const confirm_answer &answer);
     /// Notes that call @p id had no answer. @p connectionRefused means that no process listens at
--- a/libs/lease/src/lease_keeper.cpp
+++ b/libs/lease/src/lease_keeper.cpp
@@ -408,7 +408,7 @@
         onFailure(now, id, false);
 }
 
-confirm_answer lease_keeper::onAsk(timestamp now, const confirm_ask &ask)
+confirm_answer lease_keeper::onRequest(timestamp now, const confirm_ask &ask)
 {
     confirm_answer answer;
     for (const confirm_ask::item &item : ask.items) {
--- a/libs/lease/tests/lease_world.h
+++ b/libs/lease/tests/lease_world.h
@@ -167,7 +167,7 @@
         if (cut || target->second.peersCut.contains(from))
             return;
         on(call.to, [this, from, call](lease_keeper &keeper) {
-            const confirm_answer answer = keeper.onAsk(now, call.ask);
+            const confirm_answer answer = keeper.onRequest(now, call.ask);
             after(std::chrono::milliseconds(1 + m_random() % 30), [this, from, call, answer] {
                 on(from, [this, call, answer](lease_keeper &asker) {
                     asker.onAnswer(now, call.id, answer);
--- a/libs/limits/benchmarks/bench_limits.cpp
+++ b/libs/limits/benchmarks/bench_limits.cpp
@@ -1,4 +1,4 @@
-#include "limit_world.h"
+#include "limiter_simulation.h"
 
 #include <array>
 
@@ -6,32 +6,32 @@
 
 using namespace trefoil;
 
-/// Compares the ways to keep limits, from one fixed seed, in virtual time.
+/// Compares the strategies to enforce limits in simulations with a fixed seed.
 int main(int argc, char **argv)
 {
-    struct named_way
+    struct named_strategy
     {
-        limit_way way;
+        limit_strategy strategy;
         const char *name;
     };
-    constexpr std::array<named_way, 3> ways {
-        {{limit_way::StaticSplit, "equal static split"},
-         {limit_way::PlatformLease, "platform lease alone"},
-         {limit_way::Confirmations, "owner, grants, confirmations"}}};
+    constexpr std::array<named_strategy, 3> strategies {
+        {{limit_strategy::StaticSplit, "equal static split"},
+         {limit_strategy::PlatformLease, "platform lease alone"},
+         {limit_strategy::Confirmations, "owner, grants, confirmations"}}};
     std::vector<report_table> tables;
     for (const limit_scenario &scenario : limitScenarios()) {
         report_table table(scenario.name,
-                           {"way", "overshoot tokens", "refused within rate %",
-                            "worst-served team %", "messages/node/s", "platform calls/s",
+                           {"strategy", "overshoot tokens", "refused within rate %",
+                            "worst-served team %", "messages/instance/s", "platform calls/s",
                             "requests"});
-        for (const named_way &each : ways) {
-            const limit_figures figures = limit_world(each.way, scenario, 1).run();
-            table.add({each.name, formatNumber(figures.overshoot, 0),
-                       formatNumber(figures.refusedWithinRate * 100, 2),
-                       formatNumber(figures.worstServed * 100, 1),
-                       formatNumber(figures.messagesPerNodeSecond, 1),
-                       formatNumber(figures.platformCallsPerSecond, 2),
-                       std::to_string(figures.requests)});
+        for (const named_strategy &each : strategies) {
+            const simulation_result outcome = limiter_simulation(each.strategy, scenario, 1).run();
+            table.add({each.name, formatNumber(outcome.overshoot, 0),
+                       formatNumber(outcome.refusedWithinRate * 100, 2),
+                       formatNumber(outcome.worstServed * 100, 1),
+                       formatNumber(outcome.messagesPerInstanceSecond, 1),
+                       formatNumber(outcome.platformCallsPerSecond, 2),
+                       std::to_string(outcome.requests)});
         }
         tables.push_back(table);
     }
