--- a/examples/embedding/main.cpp
+++ b/examples/embedding/main.cpp
@@ -24,7 +24,7 @@
           limits({.self = name, .shards = 1}, keeper)
     { }
 
-    lease_keeper keeper;
+    lease_manager keeper;
     rate_limiter limits;
 };
 
--- a/libs/control/benchmarks/bench_capacity.cpp
+++ b/libs/control/benchmarks/bench_capacity.cpp
@@ -186,7 +186,7 @@
         configuration_store store;
         const double seconds = secondsOf(
             [&] { store.take({.name = config_names::routes, .version = 1, .value = text}); });
-        lease_keeper keeper({.self = "n", .zone = "a", .keys = shardKeys(32)}, timestamp());
+        lease_manager keeper({.self = "n", .zone = "a", .keys = shardKeys(32)}, timestamp());
         rate_limiter limits({.self = "n"}, keeper);
         std::map<std::string, token_limit, std::less<>> rates;
         for (const team &each : store.view()->routes.teams)
@@ -353,7 +353,7 @@
                                               .grant = 78,
                                               .amount = 16000,
                                               .life = std::chrono::seconds(2)};
-    const peer_request confirm = confirm_ask {.from = "entry-1", .items = {{"limits/12", 4}}};
+    const peer_request confirm = confirm_request {.from = "entry-1", .items = {{"limits/12", 4}}};
     const member about {.info = {.name = "entry-1",
                                  .zone = "a",
                                  .region = "sicily",
--- a/libs/control/include/control/control_node.h
+++ b/libs/control/include/control/control_node.h
@@ -18,7 +18,7 @@
 #include <control/traffic_snapshot.h>
 #include <core/clock.h>
 #include <gossip/membership.h>
-#include <lease/lease_keeper.h>
+#include <lease/lease_manager.h>
 #include <limits/rate_limiter.h>
 
 namespace trefoil {
@@ -120,7 +120,7 @@
                                              const peer_request &request);
     /// Takes a peer's answer to call @p id; unknown numbers are ignored, here and below.
     void onPeerAnswer(timestamp now, std::uint64_t id, const peer_answer &answer);
-    /// Notes that call @p id had no answer; see lease_keeper::onFailure() for the last argument.
+    /// Notes that call @p id had no answer; see lease_manager::onFailure() for the last argument.
     void onPeerFailure(timestamp now, std::uint64_t id, bool connectionRefused);
     /// Takes the platform's answer to call @p id, of the kind that belongs to its request.
     void onPlatformAnswer(timestamp now, std::uint64_t id, const platform_answer &answer);
@@ -259,7 +259,7 @@
     std::mt19937_64 m_random;
     std::uint64_t m_wallMilliseconds = 0;
     membership m_members;
-    lease_keeper m_leases;
+    lease_manager m_leases;
     rate_limiter m_limits;
     traffic_desk m_traffic;
     rollout_desk m_rollouts;
--- a/libs/control/include/control/peer_codec.h
+++ b/libs/control/include/control/peer_codec.h
@@ -5,7 +5,7 @@
 #include <core/error.h>
 #include <gossip/membership.h>
 #include <json/value.h>
-#include <lease/lease_keeper.h>
+#include <lease/lease_manager.h>
 #include <limits/rate_limiter.h>
 #include <platform/object_store.h>
 
@@ -19,7 +19,7 @@
 
 /// Everything that instances ask each other.
 using peer_request =
-    std::variant<gossip_ping, gossip_relay, gossip_sync, confirm_ask, grant_request, config_fetch>;
+    std::variant<gossip_ping, gossip_relay, gossip_sync, confirm_request, grant_request, config_fetch>;
 
 /// Everything that they answer. An object with version 0 stands for "not known here".
 using peer_answer = std::variant<gossip_ack, gossip_relayed, confirm_answer, grant_answer, object>;
--- a/libs/control/include/control/rollout_desk.h
+++ b/libs/control/include/control/rollout_desk.h
@@ -9,7 +9,7 @@
 #include <control/configuration_store.h>
 #include <control/traffic_desk.h>
 #include <core/clock.h>
-#include <lease/lease_keeper.h>
+#include <lease/lease_manager.h>
 #include <rollout/rollout_driver.h>
 
 namespace trefoil {
@@ -48,7 +48,7 @@
 {
 public:
     /// Precondition: @p rights outlives this object.
-    explicit rollout_desk(const right_holder &rights) : m_rights(rights) { }
+    explicit rollout_desk(const lease_view &rights) : m_rights(rights) { }
 
     /// Takes the configuration in force.
     void setConfiguration(std::shared_ptr<const configuration_view> view);
@@ -86,7 +86,7 @@
     void drive(timestamp now, std::int64_t wallSeconds, const pool &table, traffic_desk &traffic);
     std::vector<rollout_worker> workersOf(const pool &table) const;
 
-    const right_holder &m_rights;
+    const lease_view &m_rights;
     std::shared_ptr<const configuration_view> m_view;
     bool m_loaded = false;
     std::map<std::string, std::pair<std::uint64_t, rollout_record>> m_records;
--- a/libs/control/src/control_node.cpp
+++ b/libs/control/src/control_node.cpp
@@ -399,7 +399,7 @@
 std::optional<peer_answer> control_node::onPeerRequest(timestamp now, std::uint64_t token,
                                                        const peer_request &request)
 {
-    if (const confirm_ask *ask = std::get_if<confirm_ask>(&request))
+    if (const confirm_request *ask = std::get_if<confirm_request>(&request))
         return m_leases.onRequest(now, *ask);
     if (const grant_request *ask = std::get_if<grant_request>(&request))
         return m_limits.onRequest(now, *ask);
--- a/libs/control/src/peer_codec.cpp
+++ b/libs/control/src/peer_codec.cpp
@@ -144,12 +144,12 @@
             message["h"].append(Json::UInt64(hash));
         return message;
     }
-    Json::Value operator()(const confirm_ask &ask) const
+    Json::Value operator()(const confirm_request &ask) const
     {
         Json::Value message = start("confirm");
         message["from"] = ask.from;
         message["items"] = Json::Value(Json::arrayValue);
-        for (const confirm_ask::item &item : ask.items) {
+        for (const confirm_request::item &item : ask.items) {
             Json::Value entry(Json::arrayValue);
             entry.append(item.key);
             entry.append(Json::UInt64(item.epoch));
@@ -252,7 +252,7 @@
 
 result<peer_request> readConfirm(const Json::Value &message)
 {
-    confirm_ask ask {.from = textOr(message, "from"), .items = {}};
+    confirm_request ask {.from = textOr(message, "from"), .items = {}};
     if (!message["items"].isArray())
         return badMessage("confirm");
     for (const Json::Value &entry : message["items"]) {
--- a/libs/lease/include/lease/lease_record.h
+++ b/libs/lease/include/lease/lease_record.h
@@ -8,25 +8,25 @@
 
 namespace trefoil {
 
-/// Who holds a right, as the platform's object says.
+/// Owner and successors of a lease, as stored in the platform.
 struct lease_record
 {
-    /// Fencing number: rises with every change of the record.
+    /// Fencing token, which increases with every change of the record.
     std::uint64_t epoch = 0;
     std::string owner;
-    /// Instances that may take over, and whose confirmations the owner needs meanwhile.
+    /// Instances that may take over. The owner needs confirmations from all of them.
     std::vector<std::string> successors;
-    /// Whether the previous owner had stopped before it wrote this record, so that the new owner
-    /// need not wait out what it promised that one.
+    /// Whether the previous owner stopped using the lease before it wrote this record. The new
+    /// owner then need not wait until its promise to the previous owner expires.
     bool handedOver = false;
 
     bool operator==(const lease_record &) const = default;
 };
 
-/// Returns the text that the platform holds. Thread-safe.
+/// Returns the JSON text that is stored in the platform. Thread-safe.
 std::string toText(const lease_record &record);
 
-/// Reads what toText() wrote; nothing where it is malformed. Thread-safe.
+/// Parses the output of toText(). Returns nothing if the text is malformed. Thread-safe.
 std::optional<lease_record> leaseRecordFromText(std::string_view text);
 
 } // namespace trefoil
--- a/libs/limits/benchmarks/limiter_simulation.cpp
+++ b/libs/limits/benchmarks/limiter_simulation.cpp
@@ -57,18 +57,18 @@
         }
         return;
     }
-    const right_holder *rights = nullptr;
+    const lease_view *leases = nullptr;
     if (m_strategy == limit_strategy::Confirmations) {
-        self.keeper = std::make_unique<lease_keeper>(
+        self.manager = std::make_unique<lease_manager>(
             lease_options {.self = self.name, .zone = zoneOf(index), .keys = shardKeys(shards)},
             m_now);
-        rights = self.keeper.get();
+        leases = self.manager.get();
     } else {
         self.lease = std::make_unique<platform_lease>();
-        rights = self.lease.get();
+        leases = self.lease.get();
     }
     self.limits = std::make_unique<rate_limiter>(
-        rate_limiter_options {.self = self.name, .shards = shards}, *rights);
+        rate_limiter_options {.self = self.name, .shards = shards}, *leases);
     self.limits->setTeams(m_now, m_limits);
 }
 
@@ -178,16 +178,16 @@
     callPeer(
         from, call.to,
         [this, from, call](simulated_instance &target) {
-            const confirm_answer answer = target.keeper->onRequest(m_now, call.ask);
+            const confirm_answer answer = target.manager->onRequest(m_now, call.ask);
             ++m_messages;
             schedule(networkDelay(), [this, from, call, answer] {
                 runOn(from, [this, call, answer](simulated_instance &self) {
-                    self.keeper->onAnswer(m_now, call.id, answer);
+                    self.manager->onAnswer(m_now, call.id, answer);
                 });
             });
         },
         [this, call](simulated_instance &self, bool refused) {
-            self.keeper->onFailure(m_now, call.id, refused);
+            self.manager->onFailure(m_now, call.id, refused);
         });
 }
 
@@ -215,8 +215,8 @@
                                                       std::uint64_t version) {
         schedule(std::chrono::milliseconds(4), [this, from, key, outcome, version] {
             runOn(from, [this, key, outcome, version](simulated_instance &self) {
-                if (self.keeper)
-                    self.keeper->onWritten(m_now, key, outcome, version);
+                if (self.manager)
+                    self.manager->onWritten(m_now, key, outcome, version);
             });
         });
     };
@@ -235,8 +235,8 @@
         schedule(std::chrono::milliseconds(20 + m_random() % 200),
                  [this, i, key = write.key, item = current] {
                      runOn(i, [this, key, item](simulated_instance &self) {
-                         if (self.keeper)
-                             self.keeper->onRecord(m_now, key, item.first, item.second);
+                         if (self.manager)
+                             self.manager->onRecord(m_now, key, item.first, item.second);
                      });
                  });
     }
@@ -253,8 +253,8 @@
         fleet.known.push_back(other.name);
     }
     fleet.attached = !(cutFromPeers.contains(index) && cutFromPlatform.contains(index));
-    self.keeper->setFleet(m_now, std::move(fleet));
-    for (const lease_action &action : self.keeper->tick(m_now)) {
+    self.manager->setFleet(m_now, std::move(fleet));
+    for (const lease_action &action : self.manager->tick(m_now)) {
         if (const confirm_call *call = std::get_if<confirm_call>(&action)) {
             sendCall(index, *call);
         } else if (const record_write *write = std::get_if<record_write>(&action)) {
@@ -268,14 +268,14 @@
             const std::pair<std::uint64_t, lease_record> item = m_objects[key];
             schedule(std::chrono::milliseconds(5), [this, index, key, item] {
                 runOn(index, [this, key, item](simulated_instance &reader) {
-                    reader.keeper->onRecord(m_now, key, item.first,
-                                            item.first == 0 ? std::optional<lease_record>()
-                                                            : item.second);
+                    reader.manager->onRecord(m_now, key, item.first,
+                                             item.first == 0 ? std::optional<lease_record>()
+                                                             : item.second);
                 });
             });
         }
     }
-    for (const lease_event &event : self.keeper->takeEvents())
+    for (const lease_event &event : self.manager->takeEvents())
         self.limits->onLease(m_now, event);
 }
 
@@ -299,7 +299,7 @@
             continue;
         ++m_platformCalls;
         platform_lease::stored_lease &item = m_leases[key];
-        const bool first = item.record.epoch == 0;
+        const bool isFirst = item.record.epoch == 0;
         const bool acquired = !isOwner || !self.lease->holds(m_now, key);
         if (acquired)
             item.record = {.epoch = item.record.epoch + 1, .owner = self.name, .successors = {}};
@@ -311,7 +311,7 @@
                                  {.kind = lease_event::change::Acquired,
                                   .key = key,
                                   .record = item.record,
-                                  .first = first});
+                                  .firstAcquisition = isFirst});
     }
 }
 
@@ -434,7 +434,7 @@
     simulated_instance &self = m_instances[static_cast<std::size_t>(index)];
     if (!self.alive || self.frozen || !self.limits)
         return;
-    if (self.keeper)
+    if (self.manager)
         stepConfirmations(self, index);
     else
         stepPlatformLease(self, index);
--- a/libs/limits/benchmarks/limiter_simulation.h
+++ b/libs/limits/benchmarks/limiter_simulation.h
@@ -9,7 +9,7 @@
 #include <string>
 #include <vector>
 
-#include <lease/lease_keeper.h>
+#include <lease/lease_manager.h>
 #include <limits/rate_limiter.h>
 
 namespace trefoil {
@@ -26,7 +26,7 @@
 
 /// Leases that are kept in the platform alone and renewed there before they expire: the baseline
 /// for confirmations by successors.
-class platform_lease : public right_holder
+class platform_lease : public lease_view
 {
 public:
     struct stored_lease
@@ -122,7 +122,7 @@
         std::string name;
         bool alive = true;
         bool frozen = false;
-        std::unique_ptr<lease_keeper> keeper;
+        std::unique_ptr<lease_manager> manager;
         std::unique_ptr<platform_lease> lease;
         std::unique_ptr<rate_limiter> limits;
         std::map<std::string, token_bucket> staticBuckets;
--- a/libs/limits/include/limits/rate_limiter.h
+++ b/libs/limits/include/limits/rate_limiter.h
@@ -10,7 +10,7 @@
 #include <vector>
 
 #include <core/clock.h>
-#include <lease/lease_keeper.h>
+#include <lease/lease_manager.h>
 #include <limits/received_grants.h>
 #include <limits/token_bucket.h>
 
@@ -97,9 +97,9 @@
 std::vector<std::string> shardKeys(int shards);
 
 /// Admits requests on one instance within the teams' token limits. A state machine without I/O; a
-/// right_holder tells which instance owns each shard.
+/// lease_view tells which instance owns each shard.
 ///
-///     rate_limiter limiter(options, leases);
+///     rate_limiter limiter(options, leaseManager);
 ///     limiter.setTeams(now, { { "reef", { .rate = 1000, .burst = 8000 } } });
 ///     limiter.request(now, 7, "reef", 500);
 ///     for (const admission &done : limiter.takeDecisions())
@@ -110,8 +110,8 @@
 class rate_limiter
 {
 public:
-    /// Precondition: @p rights outlives this object and covers shardKeys(options.shards).
-    rate_limiter(rate_limiter_options options, const right_holder &rights);
+    /// Precondition: @p leases outlives this object and covers shardKeys(options.shards).
+    rate_limiter(rate_limiter_options options, const lease_view &leases);
 
     /// @name Configuration
     /// @{
@@ -209,7 +209,7 @@
     bool isIdle(timestamp now, const team_state &state) const;
 
     rate_limiter_options m_options;
-    const right_holder &m_rights;
+    const lease_view &m_leases;
     std::map<std::string, team_state, std::less<>> m_teams;
     std::map<std::uint64_t, admitted_request> m_admitted;
     std::map<std::uint64_t, pending_call> m_calls;
--- a/libs/limits/src/rate_limiter.cpp
+++ b/libs/limits/src/rate_limiter.cpp
@@ -49,8 +49,8 @@
     return keys;
 }
 
-rate_limiter::rate_limiter(rate_limiter_options options, const right_holder &rights)
-    : m_options(std::move(options)), m_rights(rights)
+rate_limiter::rate_limiter(rate_limiter_options options, const lease_view &leases)
+    : m_options(std::move(options)), m_leases(leases)
 {
     assert(m_options.shards > 0);
 }
@@ -103,14 +103,14 @@
 void rate_limiter::openBucket(timestamp now, team_state &state, const lease_event &event)
 {
     state.epoch = event.record.epoch;
-    if (event.first) {
+    if (event.firstAcquisition) {
         state.bucket.emplace(state.limit, now, state.limit.burst);
         return;
     }
     markOwnerChange(now, state);
     // Starts empty: the previous owner may have admitted and granted a full burst.
     state.bucket.emplace(state.limit, now, 0);
-    state.bucket->reserveForPriorGrants(now, event.quiet,
+    state.bucket->reserveForPriorGrants(now, event.previousOwnerStable,
                                         now + m_options.grantLifetime + grantExpiryMargin);
 }
 
@@ -128,7 +128,7 @@
 
 bool rate_limiter::owns(timestamp now, const team_state &state) const
 {
-    return state.bucket && m_rights.holds(now, state.shard);
+    return state.bucket && m_leases.holds(now, state.shard);
 }
 
 void rate_limiter::request(timestamp now, std::uint64_t request, std::string_view team,
@@ -289,7 +289,7 @@
         waitingTokens > available || (expected >= minPrefetchTokens && available < expected / 2);
     if (!needsTokens && state.settled.empty())
         return std::nullopt;
-    const std::optional<lease_record> record = m_rights.record(state.shard);
+    const std::optional<lease_record> record = m_leases.record(state.shard);
     if (!record || record->owner == m_options.self)
         return std::nullopt;
     const double headTokens = state.queue.empty() ? 0 : state.queue.front().tokens;
@@ -415,7 +415,7 @@
 
 std::string rate_limiter::ownerOf(std::string_view team) const
 {
-    const std::optional<lease_record> record = m_rights.record(shardKey(team, m_options.shards));
+    const std::optional<lease_record> record = m_leases.record(shardKey(team, m_options.shards));
     return record ? record->owner : std::string();
 }
 
