--- a/libs/control/include/control/rollout_desk.h
+++ b/libs/control/include/control/rollout_desk.h
@@ -10,7 +10,7 @@
 #include <control/traffic_desk.h>
 #include <core/clock.h>
 #include <lease/lease_manager.h>
-#include <rollout/rollout_driver.h>
+#include <rollout/rollout_controller.h>
 
 namespace trefoil {
 
@@ -79,7 +79,7 @@
 private:
     struct driven
     {
-        rollout_driver driver;
+        rollout_controller driver;
         bool writing = false;
     };
 
--- a/libs/control/include/control/traffic_desk.h
+++ b/libs/control/include/control/traffic_desk.h
@@ -18,7 +18,7 @@
 #include <delivery/retry_budget.h>
 #include <limits/rate_limiter.h>
 #include <rollout/evidence.h>
-#include <rollout/rollout_driver.h>
+#include <rollout/rollout_controller.h>
 #include <routing/crash_ledger.h>
 #include <routing/placement.h>
 
--- a/libs/control/src/rollout_desk.cpp
+++ b/libs/control/src/rollout_desk.cpp
@@ -114,7 +114,7 @@
     if (found == m_drivers.end()) {
         const std::int64_t left = table.rollout->deadline - wallSeconds;
         const timestamp deadline = now + std::max<duration>(std::chrono::seconds(left), leastMove);
-        rollout_driver driver({.from = table.rollout->from,
+        rollout_controller driver({.from = table.rollout->from,
                                .to = table.rollout->to,
                                .start = now,
                                .deadline = deadline},
--- a/libs/control/src/traffic_desk.cpp
+++ b/libs/control/src/traffic_desk.cpp
@@ -322,7 +322,7 @@
 double traffic_desk::shareOf(const std::string &pool)
 {
     const auto found = m_rollouts.find(pool);
-    if (found == m_rollouts.end() || found->second.stage == rollout_stage::TakenBack)
+    if (found == m_rollouts.end() || found->second.stage == rollout_stage::RolledBack)
         return 0;
     // Any instance that sees a fault stops its own share, without waiting for the driver.
     evidence_verdict why;
--- a/libs/dispatch/include/dispatch/release_shares.h
+++ b/libs/dispatch/include/dispatch/release_shares.h
@@ -8,7 +8,7 @@
 
 #include <core/clock.h>
 #include <rollout/evidence.h>
-#include <rollout/rollout_driver.h>
+#include <rollout/rollout_controller.h>
 
 namespace trefoil {
 
--- a/libs/dispatch/src/release_shares.cpp
+++ b/libs/dispatch/src/release_shares.cpp
@@ -1,6 +1,6 @@
 #include <dispatch/release_shares.h>
 
-#include <rollout/rollout_driver.h>
+#include <rollout/rollout_controller.h>
 
 namespace trefoil {
 
@@ -55,7 +55,7 @@
         evidence_verdict why;
         const std::string &release = state.request->release;
         if (state.outcomes.isBad(release, state.baseline, why)) {
-            state.stage = rollout_stage::TakenBack;
+            state.stage = rollout_stage::RolledBack;
             changed.push_back(it->first);
         } else if (now - state.seenAt
                        >= fromSeconds(toSeconds(state.request->time) * m_options.doneAt)
@@ -71,7 +71,7 @@
 {
     if (state.stage == rollout_stage::Done)
         return 1;
-    if (state.stage == rollout_stage::TakenBack)
+    if (state.stage == rollout_stage::RolledBack)
         return 0;
     const double age = toSeconds(now - state.seenAt);
     const double whole = toSeconds(state.request->time);
--- a/libs/dispatch/tests/release_shares_test.cpp
+++ b/libs/dispatch/tests/release_shares_test.cpp
@@ -58,7 +58,7 @@
     for (const double from : {0.0, 3.0, 8.0, 10.4}) {
         move bad;
         bad.serve(12, 1200, from);
-        EXPECT_EQ(bad.shares.stage(service), rollout_stage::TakenBack) << from;
+        EXPECT_EQ(bad.shares.stage(service), rollout_stage::RolledBack) << from;
         EXPECT_LE(bad.onNew, bad.all / 10 + 50) << from;
         EXPECT_LE(bad.bad, 50) << from;
     }
@@ -71,7 +71,7 @@
                       rollout_request {.service = service,
                                        .release = "v2",
                                        .time = std::chrono::seconds(12),
-                                       .reported = rollout_stage::TakenBack});
+                                       .reported = rollout_stage::RolledBack});
     EXPECT_FALSE(shares.allows({}, service, "v2", 1));
     EXPECT_TRUE(shares.allows({}, service, "v1", 1));
 }
--- a/libs/rollout/benchmarks/bench_rollout.cpp
+++ b/libs/rollout/benchmarks/bench_rollout.cpp
@@ -1,4 +1,4 @@
-#include "rollout_world.h"
+#include "rollout_simulation.h"
 
 #include <core/report.h>
 
@@ -6,66 +6,73 @@
 
 namespace {
 
-struct rollout_kind
+/// Named version to roll out.
+struct benchmark_version
 {
     std::string name;
-    behaviour next;
+    version_behaviour behaviour;
 };
 
-std::vector<rollout_kind> kinds()
+std::vector<benchmark_version> benchmarkVersions()
 {
-    std::vector<rollout_kind> all(7);
-    all[0].name = "good";
-    all[1].name = "good but unlucky";
-    all[1].next.fails = [](double, int, double) { return 0.005; };
-    all[1].next.slow = [](double, int, double) { return 0.05; };
-    all[2].name = "bad at once";
-    all[2].next.fails = [](double, int, double) { return 0.9; };
-    all[3].name = "bad later";
-    all[3].next.fails = [](double, int, double seconds) { return seconds > 25 ? 0.5 : 0.002; };
-    all[4].name = "bad under load";
-    all[4].next.fails = [](double share, int, double) { return share > 0.2 ? 0.4 : 0.002; };
-    all[5].name = "bad on one route";
-    all[5].next.fails = [](double, int route, double) { return route == 1 ? 0.8 : 0.002; };
-    all[6].name = "slow";
-    all[6].next.slow = [](double, int, double) { return 0.7; };
-    return all;
+    std::vector<benchmark_version> versions(7);
+    versions[0].name = "good";
+    versions[1].name = "good but unlucky";
+    versions[1].behaviour.failureProbability = [](double, int, double) { return 0.005; };
+    versions[1].behaviour.slowProbability = [](double, int, double) { return 0.05; };
+    versions[2].name = "bad from the start";
+    versions[2].behaviour.failureProbability = [](double, int, double) { return 0.9; };
+    versions[3].name = "bad later";
+    versions[3].behaviour.failureProbability = [](double, int, double seconds) {
+        return seconds > 25 ? 0.5 : 0.002;
+    };
+    versions[4].name = "bad under load";
+    versions[4].behaviour.failureProbability = [](double share, int, double) {
+        return share > 0.2 ? 0.4 : 0.002;
+    };
+    versions[5].name = "bad on one route";
+    versions[5].behaviour.failureProbability = [](double, int route, double) {
+        return route == 1 ? 0.8 : 0.002;
+    };
+    versions[6].name = "slow";
+    versions[6].behaviour.slowProbability = [](double, int, double) { return 0.7; };
+    return versions;
 }
 
 } // namespace
 
-/// Rollouts of 60 s over 100 seeds, by the driver and by the baseline: a schedule that looks at no
-/// evidence.
+/// Simulates rollouts of 60 s with 100 seeds, by the controller and by a baseline that follows the
+/// schedule without looking at request outcomes.
 int main(int argc, char **argv)
 {
     constexpr int runs = 100;
     report_table table("rollouts of 60 s, 18 workers, 100 requests/s, 100 seeds",
-                       {"version", "done in time", "taken back", "worst share before the fault %",
-                        "requests after taking back", "most loads at once",
-                        "baseline: done in time", "baseline: traffic it got %"});
-    for (const rollout_kind &kind : kinds()) {
+                       {"version", "done in time", "rolled back", "max share before rollback %",
+                        "requests after rollback", "max parallel loads", "baseline: done in time",
+                        "baseline: traffic to the version %"});
+    for (const benchmark_version &version : benchmarkVersions()) {
         int done = 0;
-        int back = 0;
-        int mostLoads = 0;
-        double worstShare = 0;
-        double after = 0;
+        int rolledBack = 0;
+        int maxParallelLoads = 0;
+        double maxShare = 0;
+        double requestsAfterRollback = 0;
         int baselineDone = 0;
         double baselineShare = 0;
         for (std::uint64_t seed = 1; seed <= runs; ++seed) {
-            const run_result run = runRollout(kind.next, seed);
+            const rollout_result run = simulateRollout(version.behaviour, seed);
             done += run.record.stage == rollout_stage::Done && run.doneAt <= 60 ? 1 : 0;
-            back += run.record.stage == rollout_stage::TakenBack ? 1 : 0;
-            mostLoads = std::max(mostLoads, run.mostLoads);
-            worstShare = std::max(worstShare, run.newShareOfTraffic);
-            after += run.badAfterTakeBack;
-            const run_result blind = runRollout(kind.next, seed, -1, false);
-            baselineDone += blind.record.stage == rollout_stage::Done ? 1 : 0;
-            baselineShare += blind.newShareOfTraffic / runs;
+            rolledBack += run.record.stage == rollout_stage::RolledBack ? 1 : 0;
+            maxParallelLoads = std::max(maxParallelLoads, run.maxParallelLoads);
+            maxShare = std::max(maxShare, run.newShareOfTraffic);
+            requestsAfterRollback += run.newVersionRequestsAfterRollback;
+            const rollout_result baseline = simulateRollout(version.behaviour, seed, -1, false);
+            baselineDone += baseline.record.stage == rollout_stage::Done ? 1 : 0;
+            baselineShare += baseline.newShareOfTraffic / runs;
         }
-        table.add({kind.name, std::to_string(done), std::to_string(back),
-                   back > 0 ? formatNumber(worstShare * 100, 2) : "-", formatNumber(after, 0),
-                   std::to_string(mostLoads), std::to_string(baselineDone),
-                   formatNumber(baselineShare * 100, 1)});
+        table.add({version.name, std::to_string(done), std::to_string(rolledBack),
+                   rolledBack > 0 ? formatNumber(maxShare * 100, 2) : "-",
+                   formatNumber(requestsAfterRollback, 0), std::to_string(maxParallelLoads),
+                   std::to_string(baselineDone), formatNumber(baselineShare * 100, 1)});
     }
     return report({table}, argc, argv);
 }
--- /dev/null
+++ b/libs/rollout/benchmarks/rollout_simulation.h
@@ -0,0 +1,128 @@
+#pragma once
+
+#include <algorithm>
+#include <functional>
+#include <map>
+#include <optional>
+#include <random>
+#include <string>
+#include <vector>
+
+#include <rollout/rollout_controller.h>
+
+namespace trefoil {
+
+/// Simulated version: the probabilities that a request fails or is slow, depending on the version's
+/// share of the traffic, the route and the seconds since the start.
+struct version_behaviour
+{
+    std::function<double(double share, int route, double seconds)> failureProbability =
+        [](double, int, double) { return 0.002; };
+    std::function<double(double share, int route, double seconds)> slowProbability =
+        [](double, int, double) { return 0.02; };
+};
+
+/// Result of a simulated rollout.
+struct rollout_result
+{
+    rollout_record record;
+    double doneAt = -1;
+    double rolledBackAt = -1;
+    double newVersionRequestsAfterRollback = 0;
+    double newShareOfTraffic = 0; // until the rollback
+    int maxParallelLoads = 0;
+    std::size_t workersOnNew = 0;
+};
+
+/// Simulates a rollout of 60 s in virtual time: 18 workers, 100 requests per second on three
+/// routes, 1.5 s to load a version, and outcomes that reach the controller half a second late. The
+/// controller is replaced @p restartControllerAt seconds after the start, if that is not negative.
+inline rollout_result simulateRollout(const version_behaviour &next, std::uint64_t seed,
+                                      double restartControllerAt = -1, bool useEvidence = true)
+{
+    const timestamp start {std::chrono::seconds(1000)};
+    const rollout_options options {
+        .from = "v1", .to = "v2", .start = start, .deadline = start + std::chrono::seconds(60)};
+    std::mt19937_64 random(seed);
+    const auto chance = [&](double share) {
+        return std::uniform_real_distribution<double>(0, 1)(random) < share;
+    };
+    std::optional<rollout_controller> controller;
+    controller.emplace(options, std::nullopt);
+    std::vector<rollout_worker> workers;
+    for (int i = 0; i < 18; ++i)
+        workers.push_back({.name = "w" + std::to_string(i), .version = "v1"});
+    std::map<std::string, std::pair<double, std::string>> loading;
+    evidence outcomes;
+    std::vector<std::function<void()>> pendingReports;
+    rollout_result rollout;
+    double requests = 0;
+    double onNew = 0;
+    bool restarted = false;
+    for (int tick = 0; tick < 1000; ++tick) {
+        const double seconds = tick * 0.1;
+        const timestamp now = start + fromSeconds(seconds);
+        if (tick % 5 == 0) {
+            for (const std::function<void()> &report : pendingReports)
+                report();
+            pendingReports.clear();
+        }
+        for (auto it = loading.begin(); it != loading.end();) {
+            if (seconds < it->second.first) {
+                ++it;
+                continue;
+            }
+            for (rollout_worker &each : workers) {
+                if (each.name == it->first)
+                    each.version = it->second.second;
+            }
+            it = loading.erase(it);
+        }
+        if (restartControllerAt >= 0 && seconds >= restartControllerAt && !restarted) {
+            restarted = true;
+            const rollout_record storedRecord = controller->record();
+            controller.emplace(options, storedRecord);
+        }
+        controller->setWorkers(workers);
+        for (const load_order &order : controller->tick(now, 1, outcomes)) {
+            loading[order.worker] = {seconds + 1.5, order.version};
+            for (rollout_worker &each : workers) {
+                if (each.name == order.worker)
+                    each.version.clear();
+            }
+        }
+        rollout.maxParallelLoads =
+            std::max(rollout.maxParallelLoads, static_cast<int>(loading.size()));
+        const rollout_record &record = controller->record();
+        if (record.stage == rollout_stage::Done && rollout.doneAt < 0)
+            rollout.doneAt = seconds;
+        if (record.stage == rollout_stage::RolledBack && rollout.rolledBackAt < 0)
+            rollout.rolledBackAt = seconds;
+        for (int i = 0; i < 10; ++i) {
+            const int route = static_cast<int>(random() % 3);
+            const bool takesNew = takesNewVersion(random(), record.share);
+            const std::string version = takesNew ? "v2" : "v1";
+            const version_behaviour good;
+            const version_behaviour &behaviour = takesNew ? next : good;
+            const bool failed = chance(behaviour.failureProbability(record.share, route, seconds));
+            const bool slow = chance(behaviour.slowProbability(record.share, route, seconds));
+            pendingReports.push_back([&outcomes, version, route, failed, slow, useEvidence] {
+                outcomes.note(version, "r" + std::to_string(route), failed && useEvidence,
+                              slow && useEvidence);
+            });
+            if (rollout.rolledBackAt < 0) {
+                requests += 1;
+                onNew += takesNew ? 1 : 0;
+            } else if (takesNew) {
+                rollout.newVersionRequestsAfterRollback += 1;
+            }
+        }
+    }
+    rollout.record = controller->record();
+    rollout.newShareOfTraffic = onNew / std::max(1.0, requests);
+    for (const rollout_worker &each : workers)
+        rollout.workersOnNew += each.version == "v2" ? 1 : 0;
+    return rollout;
+}
+
+} // namespace trefoil
--- a/libs/rollout/include/rollout/evidence.h
+++ b/libs/rollout/include/rollout/evidence.h
@@ -8,18 +8,18 @@
 
 namespace trefoil {
 
-/// Outcomes of requests of one version on one route. Counts only grow.
+/// Request outcomes of one version on one route. Counts never decrease.
 struct outcome_counts
 {
     std::uint64_t requests = 0;
     std::uint64_t failures = 0;
-    /// Requests whose first token came much later than expected.
+    /// Requests whose first token arrived much later than expected.
     std::uint64_t slow = 0;
 
     bool operator==(const outcome_counts &) const = default;
 };
 
-/// A version and route found to be bad.
+/// Version that was found to be bad, and the route on which it is.
 struct evidence_verdict
 {
     std::string version;
@@ -28,29 +28,29 @@
     std::string reason;
 };
 
-/// Decides from outcomes whether a version is worse than the one before it, for each route by
-/// itself. A sequential test (cumulative sums of likelihood ratios) finds a fault that is there at
-/// once as well as one that comes later. Not thread-safe.
+/// Decides from request outcomes whether a version is worse than its predecessor, separately for
+/// each route. A sequential test (CUSUM of log-likelihood ratios) detects faults that exist from
+/// the start as well as faults that appear later. Not thread-safe.
 class evidence
 {
 public:
-    /// Counts one request's outcome.
+    /// Counts the outcome of one request.
     void note(std::string_view version, std::string_view route, bool failed, bool slow);
     /// Adds the outcomes that another instance counted since its last report.
     void add(std::string_view version, std::string_view route, const outcome_counts &counts);
 
-    /// Returns whether @p candidate is bad on any route when compared with @p baseline.
+    /// Returns whether @p candidate is worse than @p baseline on any route; if so, sets @p why.
     bool isBad(std::string_view candidate, std::string_view baseline, evidence_verdict &why) const;
-    /// Returns the outcomes counted of @p version on all routes.
+    /// Returns the sum of the outcomes of @p version over all routes.
     outcome_counts total(std::string_view version) const;
-    /// Forgets @p version, for a new rollout of the same name.
+    /// Removes the outcomes of @p version, before a new rollout of a version with the same name.
     void forget(std::string_view version);
 
 private:
     struct tally
     {
         outcome_counts counts;
-        /// Cumulative sums, kept at or above 0.
+        /// Cumulative sums of the log-likelihood ratios, never below 0.
         double failureSum = 0;
         double slowSum = 0;
     };
--- a/libs/rollout/src/evidence.cpp
+++ b/libs/rollout/src/evidence.cpp
@@ -7,11 +7,12 @@
 
 namespace {
 
-/// Sum at which a version counts as bad: a good version reaches it about once in e^9 (8,000) tries.
-constexpr double badSum = 9;
+/// Cumulative sum at which a version counts as bad. A good version reaches it about once in e^9
+/// (8,000) tries.
+constexpr double badVersionThreshold = 9;
 
-/// Shares of failed and slow requests that a good version may have, and that a bad one has at
-/// least.
+/// Shares of failed or slow requests: at most `good` for a good version, at least `bad` for a bad
+/// one.
 struct test_shares
 {
     double good = 0;
@@ -21,20 +22,22 @@
 constexpr test_shares failureShares {.good = 0.005, .bad = 0.06};
 constexpr test_shares slowShares {.good = 0.05, .bad = 0.30};
 
-/// Outcomes of the version before that are needed for its share to count.
-constexpr std::uint64_t leastBaseline = 50;
+/// Minimum number of requests to the previous version for its share to be compared.
+constexpr std::uint64_t minBaselineRequests = 50;
 
-double ratioOf(bool hit, const test_shares &shares)
+/// Returns the log-likelihood ratio of one outcome between a bad and a good version.
+double logLikelihoodRatio(bool hit, const test_shares &shares)
 {
     return hit ? std::log(shares.bad / shares.good)
                : std::log((1 - shares.bad) / (1 - shares.good));
 }
 
-double advanced(double sum, std::uint64_t hits, std::uint64_t requests, const test_shares &shares)
+/// Returns the cumulative sum after @p requests more requests, @p hits of them failed or slow.
+double updatedSum(double sum, std::uint64_t hits, std::uint64_t requests, const test_shares &shares)
 {
     const double misses = static_cast<double>(requests - hits);
-    const double change =
-        static_cast<double>(hits) * ratioOf(true, shares) + misses * ratioOf(false, shares);
+    const double change = static_cast<double>(hits) * logLikelihoodRatio(true, shares)
+        + misses * logLikelihoodRatio(false, shares);
     return std::max(0.0, sum + change);
 }
 
@@ -52,17 +55,17 @@
     item.counts.requests += counts.requests;
     item.counts.failures += counts.failures;
     item.counts.slow += counts.slow;
-    item.failureSum = advanced(item.failureSum, std::min(counts.failures, counts.requests),
-                               counts.requests, failureShares);
-    item.slowSum =
-        advanced(item.slowSum, std::min(counts.slow, counts.requests), counts.requests, slowShares);
+    item.failureSum = updatedSum(item.failureSum, std::min(counts.failures, counts.requests),
+                                 counts.requests, failureShares);
+    item.slowSum = updatedSum(item.slowSum, std::min(counts.slow, counts.requests), counts.requests,
+                              slowShares);
 }
 
 double evidence::baselineShare(std::string_view version, std::string_view route,
                                std::uint64_t outcome_counts::*field) const
 {
     const auto found = m_tallies.find({std::string(version), std::string(route)});
-    if (found == m_tallies.end() || found->second.counts.requests < leastBaseline)
+    if (found == m_tallies.end() || found->second.counts.requests < minBaselineRequests)
         return 0;
     const outcome_counts &counts = found->second.counts;
     return static_cast<double>(counts.*field) / static_cast<double>(counts.requests);
@@ -71,27 +74,28 @@
 bool evidence::isBad(std::string_view candidate, std::string_view baseline,
                      evidence_verdict &why) const
 {
-    const auto worse = [&](const tally &item, std::string_view route,
-                           std::uint64_t outcome_counts::*field, const test_shares &shares) {
-        // Where the version before fails as much, the fault is elsewhere.
-        const double before = baselineShare(baseline, route, field);
-        const double now = static_cast<double>(item.counts.*field)
+    const auto isWorse = [&](const tally &item, std::string_view route,
+                             std::uint64_t outcome_counts::*field, const test_shares &shares) {
+        // If the previous version is about as bad on this route, the new version is not the cause.
+        const double baselineValue = baselineShare(baseline, route, field);
+        const double candidateValue = static_cast<double>(item.counts.*field)
             / static_cast<double>(std::max<std::uint64_t>(1, item.counts.requests));
-        return before < shares.good || now > 3 * before;
+        return baselineValue < shares.good || candidateValue > 3 * baselineValue;
     };
     for (auto it = m_tallies.begin(); it != m_tallies.end(); ++it) {
         if (it->first.first != candidate)
             continue;
         const tally &item = it->second;
         const std::string &route = it->first.second;
-        const bool fails = item.failureSum >= badSum
-            && worse(item, route, &outcome_counts::failures, failureShares);
-        const bool slow =
-            item.slowSum >= badSum && worse(item, route, &outcome_counts::slow, slowShares);
-        if (!fails && !slow)
+        const bool failing = item.failureSum >= badVersionThreshold
+            && isWorse(item, route, &outcome_counts::failures, failureShares);
+        const bool slow = item.slowSum >= badVersionThreshold
+            && isWorse(item, route, &outcome_counts::slow, slowShares);
+        if (!failing && !slow)
             continue;
-        why = {
-            .version = std::string(candidate), .route = route, .reason = fails ? "fails" : "slow"};
+        why = {.version = std::string(candidate),
+               .route = route,
+               .reason = failing ? "fails" : "slow"};
         return true;
     }
     return false;
--- a/libs/rollout/src/rollout_driver.cpp
+++ b/libs/rollout/src/rollout_controller.cpp
@@ -1,4 +1,4 @@
-#include <rollout/rollout_driver.h>
+#include <rollout/rollout_controller.h>
 
 #include <algorithm>
 #include <array>
@@ -13,15 +13,16 @@
 
 constexpr std::array<std::string_view, 3> stageNames {"moving", "done", "taken-back"};
 
-/// Shares after the first one. The factor between two is at most about two and a half, so that a
-/// fault under load shows before most of the traffic meets it.
-constexpr std::array<double, 6> laterShares {0.05, 0.12, 0.25, 0.5, 0.75, 1.0};
+/// Traffic shares after the first step. Each is at most about two and a half times the previous
+/// one, so that a fault under load shows before it affects most of the traffic.
+constexpr std::array<double, 6> shareSteps {0.05, 0.12, 0.25, 0.5, 0.75, 1.0};
 
-/// Part of the time to the deadline by which the last step is taken; the rest is for watching it.
-constexpr double movingPart = 0.85;
+/// Share of the time to the deadline within which all steps are taken. The rest is for observing
+/// the last step.
+constexpr double moveTimeShare = 0.85;
 
-/// Time at the full share before a move counts as done.
-constexpr duration watchFull = std::chrono::seconds(5);
+/// Time at the full traffic share after which the rollout is complete.
+constexpr duration fullShareDuration = std::chrono::seconds(5);
 
 } // namespace
 
@@ -58,7 +59,8 @@
                            .reason = textOr(*value, "reason")};
 }
 
-rollout_driver::rollout_driver(rollout_options options, std::optional<rollout_record> record)
+rollout_controller::rollout_controller(rollout_options options,
+                                       std::optional<rollout_record> record)
     : m_options(std::move(options))
 {
     assert(m_options.from != m_options.to);
@@ -67,65 +69,66 @@
         m_record = std::move(*record);
 }
 
-void rollout_driver::setWorkers(std::vector<rollout_worker> workers)
+void rollout_controller::setWorkers(std::vector<rollout_worker> workers)
 {
     m_workers = std::move(workers);
     for (const rollout_worker &each : m_workers) {
         const auto loading = m_loading.find(each.name);
-        const bool settled = !each.version.empty()
-            && (each.version == m_options.to) == (m_record.stage != rollout_stage::TakenBack);
-        if (loading != m_loading.end() && settled)
+        const bool isLoaded = !each.version.empty()
+            && (each.version == m_options.to) == (m_record.stage != rollout_stage::RolledBack);
+        if (loading != m_loading.end() && isLoaded)
             m_loading.erase(loading);
     }
 }
 
-std::vector<load_order> rollout_driver::tick(timestamp now, std::uint64_t epoch,
-                                             const evidence &outcomes)
+std::vector<load_order> rollout_controller::tick(timestamp now, std::uint64_t epoch,
+                                                 const evidence &outcomes)
 {
     evidence_verdict why;
     if (m_record.stage == rollout_stage::Moving
         && outcomes.isBad(m_options.to, m_options.from, why)) {
-        m_record.stage = rollout_stage::TakenBack;
+        m_record.stage = rollout_stage::RolledBack;
         m_record.share = 0;
         m_record.reason =
             "version \"" + why.version + "\" " + why.reason + " on route \"" + why.route + "\"";
     }
     if (m_record.stage == rollout_stage::Moving)
-        step(now, outcomes);
-    return orders(now, epoch);
+        updateShare(now, outcomes);
+    return dueOrders(now, epoch);
 }
 
-double rollout_driver::plannedShare(timestamp now) const
+double rollout_controller::scheduledShare(timestamp now) const
 {
-    const double whole = toSeconds(m_options.deadline - m_options.start) * movingPart;
-    const double passed = toSeconds(now - m_options.start);
-    if (passed <= 0 || whole <= 0)
-        return passed > 0 ? 1 : m_options.firstShare;
-    const double steps = static_cast<double>(laterShares.size() + 1);
+    const double moveSeconds = toSeconds(m_options.deadline - m_options.start) * moveTimeShare;
+    const double elapsed = toSeconds(now - m_options.start);
+    if (elapsed <= 0 || moveSeconds <= 0)
+        return elapsed > 0 ? 1 : m_options.initialShare;
+    const double steps = static_cast<double>(shareSteps.size() + 1);
     const std::size_t reached =
-        static_cast<std::size_t>(std::min(steps - 1, std::floor(passed / whole * steps)));
-    return reached == 0 ? m_options.firstShare : laterShares[reached - 1];
+        static_cast<std::size_t>(std::min(steps - 1, std::floor(elapsed / moveSeconds * steps)));
+    return reached == 0 ? m_options.initialShare : shareSteps[reached - 1];
 }
 
-void rollout_driver::step(timestamp now, const evidence &outcomes)
+void rollout_controller::updateShare(timestamp now, const evidence &outcomes)
 {
-    const bool anyOnNew =
+    const bool isNewVersionRunning =
         std::any_of(m_workers.begin(), m_workers.end(),
                     [this](const rollout_worker &each) { return each.version == m_options.to; });
-    if (!anyOnNew)
+    if (!isNewVersionRunning)
         return;
     const std::uint64_t requests = outcomes.total(m_options.to).requests;
-    const double planned = plannedShare(now);
-    const bool seenEnough = requests >= m_requestsAtStep + m_options.requestsPerStep;
-    // With too little traffic to judge a step by, the last third of the time goes by the clock.
-    const duration whole = m_options.deadline - m_options.start;
-    const bool mustGoOn = now >= m_options.deadline - whole / 3;
+    const double scheduled = scheduledShare(now);
+    const bool hasEnoughRequests = requests >= m_requestsAtStep + m_options.requestsPerStep;
+    // If there are too few requests to evaluate a step, the last third of the time follows the
+    // schedule.
+    const duration totalTime = m_options.deadline - m_options.start;
+    const bool isDeadlineNear = now >= m_options.deadline - totalTime / 3;
     if (m_record.share == 0) {
-        m_record.share = m_options.firstShare;
+        m_record.share = m_options.initialShare;
         m_requestsAtStep = requests;
-    } else if (planned > m_record.share && (seenEnough || mustGoOn)) {
-        // One step at a time: the next one up, not the one that the clock asks for.
-        for (const double share : laterShares) {
+    } else if (scheduled > m_record.share && (hasEnoughRequests || isDeadlineNear)) {
+        // Takes only the next step, even if the schedule is further ahead.
+        for (const double share : shareSteps) {
             if (share <= m_record.share)
                 continue;
             m_record.share = share;
@@ -139,53 +142,54 @@
     }
     if (!m_fullSince)
         m_fullSince = now;
-    if (now - *m_fullSince >= watchFull)
+    if (now - *m_fullSince >= fullShareDuration)
         m_record.stage = rollout_stage::Done;
 }
 
-std::size_t rollout_driver::wantedOnNew() const
+std::size_t rollout_controller::targetWorkersOnNew() const
 {
     const double size = static_cast<double>(m_workers.size());
-    if (m_record.stage == rollout_stage::TakenBack)
+    if (m_record.stage == rollout_stage::RolledBack)
         return 0;
     if (m_record.stage == rollout_stage::Done)
         return m_workers.size();
-    // One step ahead of the share, so that the next one finds its workers ready; one old worker
-    // stays until the move is done, to go back to.
-    double ahead = 1.0;
-    for (const double share : laterShares) {
+    // Prepares the workers for the next step in advance. One worker keeps the old version until the
+    // rollout is complete, for a rollback.
+    double nextShare = 1.0;
+    for (const double share : shareSteps) {
         if (share > m_record.share) {
-            ahead = share;
+            nextShare = share;
             break;
         }
     }
-    const double target = m_record.share == 0 ? m_options.firstShare : ahead;
-    const std::size_t wanted = static_cast<std::size_t>(std::ceil(target * size));
-    const std::size_t most = m_workers.size() > 1 ? m_workers.size() - 1 : m_workers.size();
-    return std::clamp<std::size_t>(wanted, 1, most);
+    const double targetShare = m_record.share == 0 ? m_options.initialShare : nextShare;
+    const std::size_t wanted = static_cast<std::size_t>(std::ceil(targetShare * size));
+    const std::size_t maxOnNew = m_workers.size() > 1 ? m_workers.size() - 1 : m_workers.size();
+    return std::clamp<std::size_t>(wanted, 1, maxOnNew);
 }
 
-std::vector<load_order> rollout_driver::orders(timestamp now, std::uint64_t epoch)
+std::vector<load_order> rollout_controller::dueOrders(timestamp now, std::uint64_t epoch)
 {
     std::erase_if(m_loading,
                   [&](const auto &each) { return now - each.second >= m_options.loadTimeout; });
     std::size_t onNew = 0;
     for (const rollout_worker &each : m_workers) {
         const bool loadingNew =
-            m_loading.contains(each.name) && m_record.stage != rollout_stage::TakenBack;
+            m_loading.contains(each.name) && m_record.stage != rollout_stage::RolledBack;
         onNew += each.version == m_options.to || loadingNew ? 1 : 0;
     }
     std::vector<load_order> due;
-    const std::size_t wanted = wantedOnNew();
-    const bool back = onNew > wanted;
-    const std::string &target = back ? m_options.from : m_options.to;
-    std::size_t missing = back ? onNew - wanted : wanted - onNew;
+    const std::size_t wanted = targetWorkersOnNew();
+    const bool movesBack = onNew > wanted;
+    const std::string &target = movesBack ? m_options.from : m_options.to;
+    std::size_t missing = movesBack ? onNew - wanted : wanted - onNew;
     for (const rollout_worker &each : m_workers) {
-        if (missing == 0 || m_loading.size() >= static_cast<std::size_t>(m_options.maxLoads))
+        if (missing == 0
+            || m_loading.size() >= static_cast<std::size_t>(m_options.maxConcurrentLoads))
             break;
-        const bool candidate = each.reachable && !each.version.empty() && each.version != target
+        const bool canLoad = each.reachable && !each.version.empty() && each.version != target
             && !m_loading.contains(each.name);
-        if (!candidate)
+        if (!canLoad)
             continue;
         m_loading[each.name] = now;
         due.push_back({.worker = each.name, .version = target, .epoch = epoch});
@@ -194,7 +198,7 @@
     return due;
 }
 
-void rollout_driver::onOrderFailed(std::string_view worker)
+void rollout_controller::onOrderFailed(std::string_view worker)
 {
     const auto found = m_loading.find(worker);
     if (found != m_loading.end())
@@ -203,8 +207,8 @@
 
 bool takesNewVersion(std::uint64_t bits, double share)
 {
-    constexpr double range = 18446744073709551616.0; // 2^64
-    return static_cast<double>(bits) < share * range;
+    constexpr double digestRange = 18446744073709551616.0; // 2^64
+    return static_cast<double>(bits) < share * digestRange;
 }
 
 } // namespace trefoil
