--- a/libs/limits/benchmarks/limiter_simulation.cpp
+++ b/libs/limits/benchmarks/limiter_simulation.cpp
@@ -28,9 +28,9 @@
 
 } // namespace
 
-limiter_simulation::limiter_simulation(limit_strategy way, const limit_scenario &scenario,
+limiter_simulation::limiter_simulation(limit_strategy strategy, const limit_scenario &scenario,
                                        std::uint64_t seed)
-    : m_strategy(way), m_scenario(scenario), m_random(seed)
+    : m_strategy(strategy), m_scenario(scenario), m_random(seed)
 {
     for (const team_traffic &team : m_scenario.teams) {
         m_limits[team.name] = team.limit;
@@ -354,7 +354,7 @@
             return;
         const request done = found->second;
         m_requests.erase(found);
-        m_uses[done.team].push_back({.at = done.admittedAt, .tokens = done.used});
+        m_usages[done.team].push_back({.at = done.admittedAt, .tokens = done.used});
         m_servedTokens[done.team] += done.used;
         runOn(done.instance, [this, id, done](simulated_instance &self) {
             if (self.limits)
@@ -457,20 +457,20 @@
 
 double limiter_simulation::overshootOf(const std::string &team) const
 {
-    const auto found = m_uses.find(team);
-    if (found == m_uses.end())
+    const auto found = m_usages.find(team);
+    if (found == m_usages.end())
         return 0;
-    std::vector<token_usage> uses = found->second;
-    std::sort(uses.begin(), uses.end(),
+    std::vector<token_usage> usages = found->second;
+    std::sort(usages.begin(), usages.end(),
               [](const token_usage &a, const token_usage &b) { return a.at < b.at; });
     const token_limit &limit = m_highestLimits.at(team);
-    // The largest excess of a window that ends at one request follows from that of the request
-    // before.
+    // Computes the largest excess of the windows that end at each request from that of the previous
+    // request.
     double maxExcess = 0;
     double windowTokens = 0;
-    for (std::size_t i = 0; i < uses.size(); ++i) {
-        const double gap = i == 0 ? 0 : toSeconds(uses[i].at - uses[i - 1].at);
-        windowTokens = std::max(0.0, windowTokens - limit.rate * gap) + uses[i].tokens;
+    for (std::size_t i = 0; i < usages.size(); ++i) {
+        const double gap = i == 0 ? 0 : toSeconds(usages[i].at - usages[i - 1].at);
+        windowTokens = std::max(0.0, windowTokens - limit.rate * gap) + usages[i].tokens;
         maxExcess = std::max(maxExcess, windowTokens - limit.burst);
     }
     return maxExcess;
--- a/libs/limits/benchmarks/limiter_simulation.h
+++ b/libs/limits/benchmarks/limiter_simulation.h
@@ -95,7 +95,7 @@
 public:
     static constexpr int instanceCount = 8;
 
-    limiter_simulation(limit_strategy way, const limit_scenario &scenario, std::uint64_t seed);
+    limiter_simulation(limit_strategy strategy, const limit_scenario &scenario, std::uint64_t seed);
 
     simulation_result run();
 
@@ -184,7 +184,7 @@
     std::map<std::string, token_limit> m_highestLimits;
     std::map<std::string, token_bucket> m_ideal;
     std::map<std::uint64_t, request> m_requests;
-    std::map<std::string, std::vector<token_usage>> m_uses;
+    std::map<std::string, std::vector<token_usage>> m_usages;
     std::map<std::string, double> m_idealTokens;
     std::map<std::string, double> m_servedTokens;
     std::uint64_t m_nextRequest = 1;
