--- a/libs/control/benchmarks/bench_capacity.cpp
+++ b/libs/control/benchmarks/bench_capacity.cpp
@@ -11,7 +11,7 @@
 
 #include <core/json.h>
 #include <core/report.h>
-#include <limits/token_account.h>
+#include <limits/token_bucket.h>
 #include <routing/placement.h>
 
 using namespace trefoil;
@@ -192,8 +192,8 @@
         configuration_store store;
         const double seconds = measureSeconds(
             [&] { store.apply({.name = config_names::routes, .version = 1, .value = text}); });
-        lease_keeper keeper({.self = "n", .zone = "a", .keys = shardKeys(32)}, timestamp());
-        limit_node limits({.self = "n"}, keeper);
+        lease_manager keeper({.self = "n", .zone = "a", .keys = shardKeys(32)}, timestamp());
+        rate_limiter limits({.self = "n"}, keeper);
         std::map<std::string, token_limit, std::less<>> rates;
         for (const team &each : store.snapshot()->routes.teams)
             rates[each.name] = {.rate = static_cast<double>(each.rate),
@@ -287,7 +287,7 @@
     for (const int open : {100, 1000, 10000}) {
         const double before = heapBytes();
         const timestamp start {std::chrono::seconds(100)};
-        token_account account({.rate = 1e9, .burst = 1e12}, start, 1e12);
+        token_bucket account({.rate = 1e9, .burst = 1e12}, start, 1e12);
         std::vector<std::uint64_t> ids;
         for (int i = 0; i < open; ++i)
             ids.push_back(*account.reserve(start, 1000));
@@ -350,18 +350,19 @@
     const auto size = [](const auto &message) {
         return std::to_string(writeJson(toJson(message)).size());
     };
-    const peer_request ask = grant_ask {.from = "entry-1",
-                                        .team = "anchovy",
-                                        .needed = 14000,
-                                        .queued = 0,
-                                        .extra = 2000,
-                                        .settled = {{.epoch = 3, .grant = 77, .unused = 812.5}}};
+    const peer_request ask =
+        grant_request {.from = "entry-1",
+                       .team = "anchovy",
+                       .needed = 14000,
+                       .queued = 0,
+                       .extra = 2000,
+                       .settled = {{.epoch = 3, .grant = 77, .unused = 812.5}}};
     const peer_answer granted = grant_answer {.kind = grant_answer::outcome::Granted,
                                               .epoch = 3,
                                               .grant = 78,
                                               .amount = 16000,
                                               .life = std::chrono::seconds(2)};
-    const peer_request confirm = confirm_ask {.from = "entry-1", .items = {{"limits/12", 4}}};
+    const peer_request confirm = confirm_request {.from = "entry-1", .items = {{"limits/12", 4}}};
     const member announced {.info = {.name = "entry-1",
                                      .zone = "a",
                                      .region = "sicily",
--- a/libs/control/include/control/control_node.h
+++ b/libs/control/include/control/control_node.h
@@ -18,8 +18,8 @@
 #include <control/traffic_snapshot.h>
 #include <core/clock.h>
 #include <gossip/membership.h>
-#include <lease/lease_keeper.h>
-#include <limits/limit_node.h>
+#include <lease/lease_manager.h>
+#include <limits/rate_limiter.h>
 
 namespace trefoil {
 
@@ -122,7 +122,7 @@
                                              const peer_request &request);
     /// Handles a peer's answer to call @p id. Unknown identifiers are ignored, here and below.
     void onPeerAnswer(timestamp now, std::uint64_t id, const peer_answer &answer);
-    /// Handles the failure of call @p id. See lease_keeper::onFailure() for @p connectionRefused.
+    /// Handles the failure of call @p id. See lease_manager::onFailure() for @p connectionRefused.
     void onPeerFailure(timestamp now, std::uint64_t id, bool connectionRefused);
     /// Handles the platform's answer to call @p id. Precondition: @p answer holds the alternative
     /// that belongs to the request.
@@ -271,8 +271,8 @@
     std::mt19937_64 m_random;
     std::uint64_t m_wallMilliseconds = 0;
     membership m_members;
-    lease_keeper m_leases;
-    limit_node m_limits;
+    lease_manager m_leases;
+    rate_limiter m_limits;
     request_coordinator m_requestCoordinator;
     rollout_coordinator m_rolloutCoordinator;
     platform_read_scheduler m_platformReads;
--- a/libs/control/include/control/peer_codec.h
+++ b/libs/control/include/control/peer_codec.h
@@ -5,8 +5,8 @@
 #include <core/error.h>
 #include <gossip/membership.h>
 #include <json/value.h>
-#include <lease/lease_keeper.h>
-#include <limits/limit_node.h>
+#include <lease/lease_manager.h>
+#include <limits/rate_limiter.h>
 #include <platform/object_store.h>
 
 namespace trefoil {
@@ -18,8 +18,8 @@
 };
 
 /// Any request from one instance to another.
-using peer_request =
-    std::variant<gossip_ping, gossip_relay, gossip_sync, confirm_ask, grant_ask, config_fetch>;
+using peer_request = std::variant<gossip_ping, gossip_relay, gossip_sync, confirm_request,
+                                  grant_request, config_fetch>;
 
 /// Any answer to a peer_request. An object with version 0 means that the peer does not have it.
 using peer_answer = std::variant<gossip_ack, gossip_relayed, confirm_answer, grant_answer, object>;
--- a/libs/control/include/control/request_coordinator.h
+++ b/libs/control/include/control/request_coordinator.h
@@ -16,9 +16,9 @@
 #include <core/digest.h>
 #include <delivery/claim.h>
 #include <delivery/retry_budget.h>
-#include <limits/limit_node.h>
+#include <limits/rate_limiter.h>
 #include <rollout/evidence.h>
-#include <rollout/rollout_driver.h>
+#include <rollout/rollout_controller.h>
 #include <routing/crash_tracker.h>
 #include <routing/placement.h>
 
@@ -153,7 +153,7 @@
 public:
     /// @p instance and @p incarnation make the identifiers of claims unique. Precondition: @p
     /// limits outlives this object.
-    request_coordinator(limit_node &limits, std::string instance, std::string zone,
+    request_coordinator(rate_limiter &limits, std::string instance, std::string zone,
                         std::uint64_t incarnation, std::uint64_t randomSeed);
 
     /// @name Configuration and fleet
@@ -259,7 +259,7 @@
     request_state *find(std::uint64_t id);
     void updateServers(const std::string &pool);
 
-    limit_node &m_limits;
+    rate_limiter &m_limits;
     std::string m_instance;
     std::string m_zone;
     std::uint64_t m_incarnation;
--- a/libs/control/include/control/rollout_coordinator.h
+++ b/libs/control/include/control/rollout_coordinator.h
@@ -9,8 +9,8 @@
 #include <control/configuration_store.h>
 #include <control/request_coordinator.h>
 #include <core/clock.h>
-#include <lease/lease_keeper.h>
-#include <rollout/rollout_driver.h>
+#include <lease/lease_manager.h>
+#include <rollout/rollout_controller.h>
 
 namespace trefoil {
 
@@ -50,7 +50,7 @@
 {
 public:
     /// Precondition: @p rights outlives this object.
-    explicit rollout_coordinator(const right_holder &leases) : m_leases(leases) { }
+    explicit rollout_coordinator(const lease_view &leases) : m_leases(leases) { }
 
     /// Sets the active configuration. Drivers whose rollout was removed or changed are discarded.
     void setConfiguration(std::shared_ptr<const configuration_snapshot> configuration);
@@ -83,7 +83,7 @@
 private:
     struct driver_state
     {
-        rollout_driver driver;
+        rollout_controller driver;
         bool writeInFlight = false;
     };
 
@@ -91,7 +91,7 @@
                     request_coordinator &requests);
     std::vector<rollout_worker> workersFor(const pool &table) const;
 
-    const right_holder &m_leases;
+    const lease_view &m_leases;
     std::shared_ptr<const configuration_snapshot> m_configuration;
     bool m_loaded = false;
     std::map<std::string, std::pair<std::uint64_t, rollout_record>> m_records;
--- a/libs/control/src/control_node.cpp
+++ b/libs/control/src/control_node.cpp
@@ -407,10 +407,10 @@
 std::optional<peer_answer> control_node::onPeerRequest(timestamp now, std::uint64_t token,
                                                        const peer_request &request)
 {
-    if (const confirm_ask *ask = std::get_if<confirm_ask>(&request))
-        return m_leases.onAsk(now, *ask);
-    if (const grant_ask *ask = std::get_if<grant_ask>(&request))
-        return m_limits.onAsk(now, *ask);
+    if (const confirm_request *ask = std::get_if<confirm_request>(&request))
+        return m_leases.onRequest(now, *ask);
+    if (const grant_request *ask = std::get_if<grant_request>(&request))
+        return m_limits.onRequest(now, *ask);
     if (const config_fetch *fetch = std::get_if<config_fetch>(&request)) {
         const object *found = m_configuration.find(fetch->name);
         return found ? *found : object {.name = fetch->name};
--- a/libs/control/src/peer_codec.cpp
+++ b/libs/control/src/peer_codec.cpp
@@ -146,12 +146,12 @@
             message["h"].append(Json::UInt64(hash));
         return message;
     }
-    Json::Value operator()(const confirm_ask &ask) const
+    Json::Value operator()(const confirm_request &ask) const
     {
         Json::Value message = newMessage("confirm");
         message["from"] = ask.from;
         message["items"] = Json::Value(Json::arrayValue);
-        for (const confirm_ask::item &item : ask.items) {
+        for (const confirm_request::item &item : ask.items) {
             Json::Value entry(Json::arrayValue);
             entry.append(item.key);
             entry.append(Json::UInt64(item.epoch));
@@ -159,7 +159,7 @@
         }
         return message;
     }
-    Json::Value operator()(const grant_ask &ask) const
+    Json::Value operator()(const grant_request &ask) const
     {
         Json::Value message = newMessage("grant");
         message["from"] = ask.from;
@@ -254,7 +254,7 @@
 
 result<peer_request> parseConfirm(const Json::Value &message)
 {
-    confirm_ask ask {.from = textOr(message, "from"), .items = {}};
+    confirm_request ask {.from = textOr(message, "from"), .items = {}};
     if (!message["items"].isArray())
         return malformedMessage("confirm");
     for (const Json::Value &entry : message["items"]) {
@@ -267,12 +267,12 @@
 
 result<peer_request> parseGrant(const Json::Value &message)
 {
-    grant_ask ask {.from = textOr(message, "from"),
-                   .team = textOr(message, "team"),
-                   .needed = numberOr(message, "needed"),
-                   .queued = numberOr(message, "queued"),
-                   .extra = numberOr(message, "extra"),
-                   .settled = settledFromJson(message["settled"])};
+    grant_request ask {.from = textOr(message, "from"),
+                       .team = textOr(message, "team"),
+                       .needed = numberOr(message, "needed"),
+                       .queued = numberOr(message, "queued"),
+                       .extra = numberOr(message, "extra"),
+                       .settled = settledFromJson(message["settled"])};
     if (ask.team.empty() || ask.needed < 0 || ask.queued < 0 || ask.extra < 0)
         return malformedMessage("grant");
     return ask;
--- a/libs/control/src/request_coordinator.cpp
+++ b/libs/control/src/request_coordinator.cpp
@@ -40,8 +40,9 @@
 
 } // namespace
 
-request_coordinator::request_coordinator(limit_node &limits, std::string instance, std::string zone,
-                                         std::uint64_t incarnation, std::uint64_t randomSeed)
+request_coordinator::request_coordinator(rate_limiter &limits, std::string instance,
+                                         std::string zone, std::uint64_t incarnation,
+                                         std::uint64_t randomSeed)
     : m_limits(limits), m_instance(std::move(instance)), m_zone(std::move(zone)),
       m_incarnation(incarnation), m_randomSeed(randomSeed),
       m_configuration(std::make_shared<const configuration_snapshot>())
@@ -331,7 +332,7 @@
 double request_coordinator::newVersionShare(const std::string &pool)
 {
     const auto found = m_rollouts.find(pool);
-    if (found == m_rollouts.end() || found->second.stage == rollout_stage::TakenBack)
+    if (found == m_rollouts.end() || found->second.stage == rollout_stage::RolledBack)
         return 0;
     // An instance that sees the new version fail stops sending to it without waiting for the
     // driver.
--- a/libs/control/src/rollout_coordinator.cpp
+++ b/libs/control/src/rollout_coordinator.cpp
@@ -122,11 +122,11 @@
         const std::int64_t remaining = table.rollout->deadline - wallSeconds;
         const timestamp deadline =
             now + std::max<duration>(std::chrono::seconds(remaining), minTimeToDeadline);
-        rollout_driver driver({.from = table.rollout->from,
-                               .to = table.rollout->to,
-                               .start = now,
-                               .deadline = deadline},
-                              record);
+        rollout_controller driver({.from = table.rollout->from,
+                                   .to = table.rollout->to,
+                                   .start = now,
+                                   .deadline = deadline},
+                                  record);
         found = m_drivers.emplace(table.name, driver_state {.driver = std::move(driver)}).first;
     }
     driver_state &state = found->second;
