--- a/standins/src/load_tool.cpp
+++ b/standins/src/load_tool.cpp
@@ -24,8 +24,8 @@
 
 constexpr int loadThreads = 16;
 
-/// Figures of a run.
-struct load_result
+/// Measurements of a load run.
+struct load_results
 {
     std::mutex mutex;
     std::vector<double> firstTokenMs;
@@ -34,33 +34,33 @@
     std::uint64_t bytes = 0;
 };
 
-double quantile(std::vector<double> &values, double share)
+double quantile(std::vector<double> &values, double fraction)
 {
     if (values.empty())
         return 0;
     std::sort(values.begin(), values.end());
-    const double place = share * static_cast<double>(values.size() - 1);
-    return values[static_cast<std::size_t>(place + 0.5)];
+    const double rank = fraction * static_cast<double>(values.size() - 1);
+    return values[static_cast<std::size_t>(rank + 0.5)];
 }
 
-std::string makeBody(const standin_options &options, int number)
+std::string makeBody(const standin_options &options, int requestNumber)
 {
-    // All but the last message is shared, as in the traffic that the router is for.
+    // All requests share the same long prompt, so that the router can reuse cached prefixes.
     std::string prompt(options.promptBytes, 'x');
     return "{\"model\":\"" + options.model
         + "\",\"stream\":true,\"max_tokens\":8,\"messages\":[{\"role\":\"system\",\"content\":\""
-        + prompt + "\"},{\"role\":\"user\",\"content\":\"question " + std::to_string(number)
+        + prompt + "\"},{\"role\":\"user\",\"content\":\"question " + std::to_string(requestNumber)
         + "\"}]}";
 }
 
-/// Sends one request and reads its stream to the end marker.
-void sendOne(Poco::Net::HTTPClientSession &session, const standin_options &options, int number,
-             load_result &results)
+/// Sends one request and reads the streamed response up to its end marker.
+void sendRequest(Poco::Net::HTTPClientSession &session, const standin_options &options,
+                 int requestNumber, load_results &results)
 {
-    const std::string body = makeBody(options, number);
+    const std::string body = makeBody(options, requestNumber);
     const timestamp start = boot_clock::now();
-    double first = -1;
-    bool complete = false;
+    double firstTokenMs = -1;
+    bool isComplete = false;
     std::uint64_t bytes = 0;
     try {
         Poco::Net::HTTPRequest request("POST", "/v1/chat/completions",
@@ -76,20 +76,20 @@
         std::string line;
         while (std::getline(in, line)) {
             bytes += line.size() + 1;
-            if (first < 0 && line.starts_with("data:"))
-                first = toSeconds(boot_clock::now() - start) * 1000;
-            complete = complete || line.starts_with("data: [DONE]");
+            if (firstTokenMs < 0 && line.starts_with("data:"))
+                firstTokenMs = toSeconds(boot_clock::now() - start) * 1000;
+            isComplete = isComplete || line.starts_with("data: [DONE]");
         }
     } catch (const Poco::Exception &) {
         session.reset();
     }
     const std::lock_guard<std::mutex> lock(results.mutex);
-    if (!complete) {
+    if (!isComplete) {
         ++results.failures;
         return;
     }
     results.bytes += bytes;
-    results.firstTokenMs.push_back(first);
+    results.firstTokenMs.push_back(firstTokenMs);
     results.totalMs.push_back(toSeconds(boot_clock::now() - start) * 1000);
 }
 
@@ -97,8 +97,8 @@
 
 int runLoad(const standin_options &options)
 {
-    load_result results;
-    std::atomic<int> next = 0;
+    load_results results;
+    std::atomic<int> nextRequest = 0;
     const timestamp start = boot_clock::now();
     std::vector<std::jthread> threads;
     for (int i = 0; i < loadThreads; ++i) {
@@ -107,31 +107,32 @@
             session.setKeepAlive(true);
             session.setTimeout(Poco::Timespan(30, 0));
             while (true) {
-                const int number = next.fetch_add(1);
-                if (number >= options.requests)
+                const int requestNumber = nextRequest.fetch_add(1);
+                if (requestNumber >= options.requests)
                     return;
-                // An open loop: each request has its time, whether or not others are answered.
-                const timestamp due = start + fromSeconds(number / options.rate);
-                std::this_thread::sleep_for(due - boot_clock::now());
-                sendOne(session, options, number, results);
+                // Open loop: each request is sent at its scheduled time if a thread is free,
+                // whether or not earlier ones were answered.
+                const timestamp sendTime = start + fromSeconds(requestNumber / options.rate);
+                std::this_thread::sleep_for(sendTime - boot_clock::now());
+                sendRequest(session, options, requestNumber, results);
             }
         });
     }
     threads.clear();
-    Json::Value answer(Json::objectValue);
-    answer["label"] = options.label;
-    answer["requests"] = options.requests;
-    answer["failures"] = results.failures;
-    answer["seconds"] = toSeconds(boot_clock::now() - start);
-    answer["first_token_ms_p50"] = quantile(results.firstTokenMs, 0.5);
-    answer["first_token_ms_p99"] = quantile(results.firstTokenMs, 0.99);
-    answer["total_ms_p50"] = quantile(results.totalMs, 0.5);
-    answer["bytes_a_stream"] =
+    Json::Value summary(Json::objectValue);
+    summary["label"] = options.label;
+    summary["requests"] = options.requests;
+    summary["failures"] = results.failures;
+    summary["seconds"] = toSeconds(boot_clock::now() - start);
+    summary["first_token_ms_p50"] = quantile(results.firstTokenMs, 0.5);
+    summary["first_token_ms_p99"] = quantile(results.firstTokenMs, 0.99);
+    summary["total_ms_p50"] = quantile(results.totalMs, 0.5);
+    summary["bytes_a_stream"] =
         Json::UInt64(results.bytes / std::max<std::size_t>(1, results.firstTokenMs.size()));
-    std::cout << writeJson(answer) << "\n";
+    std::cout << writeJson(summary) << "\n";
     if (!options.json.empty()) {
         std::ofstream file(options.json, std::ios::app);
-        file << writeJson(answer) << "\n";
+        file << writeJson(summary) << "\n";
     }
     return results.failures == 0 ? 0 : 1;
 }
--- a/standins/src/standin_engine.cpp
+++ b/standins/src/standin_engine.cpp
@@ -21,46 +21,47 @@
 namespace {
 
 constexpr int engineThreads = 256;
-constexpr std::size_t maxEvents = 512;
-constexpr duration loadTime = std::chrono::milliseconds(1500);
+constexpr std::size_t maxCacheEvents = 512;
+constexpr duration weightsLoadTime = std::chrono::milliseconds(1500);
 
-/// Blocks held, with the least recently used dropped first, and the events about it.
+/// Prefix cache with LRU eviction, which records an event for each change of its blocks.
 class block_cache
 {
 public:
     explicit block_cache(std::size_t capacity) : m_capacity(capacity) { }
 
-    /// Returns how many leading blocks were held, and holds all of them from now on.
+    /// Marks all blocks as most recently used and adds those that are missing. Returns how many
+    /// leading blocks were cached before.
     std::size_t use(const std::vector<std::string> &blocks)
     {
-        std::size_t held = 0;
-        while (held < blocks.size() && m_places.contains(blocks[held]))
-            ++held;
+        std::size_t cachedCount = 0;
+        while (cachedCount < blocks.size() && m_positions.contains(blocks[cachedCount]))
+            ++cachedCount;
         std::vector<std::string> stored;
         std::vector<std::string> evicted;
         for (const std::string &block : blocks) {
-            const auto found = m_places.find(block);
-            if (found != m_places.end())
-                m_order.erase(found->second);
+            const auto found = m_positions.find(block);
+            if (found != m_positions.end())
+                m_lruOrder.erase(found->second);
             else
                 stored.push_back(block);
-            m_order.push_front(block);
-            m_places[block] = m_order.begin();
+            m_lruOrder.push_front(block);
+            m_positions[block] = m_lruOrder.begin();
         }
-        while (m_order.size() > m_capacity) {
-            evicted.push_back(m_order.back());
-            m_places.erase(m_order.back());
-            m_order.pop_back();
+        while (m_lruOrder.size() > m_capacity) {
+            evicted.push_back(m_lruOrder.back());
+            m_positions.erase(m_lruOrder.back());
+            m_lruOrder.pop_back();
         }
         if (!stored.empty() || !evicted.empty())
             addEvent(stored, evicted);
-        return held;
+        return cachedCount;
     }
 
     void clear()
     {
-        m_order.clear();
-        m_places.clear();
+        m_lruOrder.clear();
+        m_positions.clear();
     }
 
     Json::Value eventsFrom(std::uint64_t sequence) const
@@ -73,30 +74,31 @@
         return list;
     }
 
-    std::uint64_t nextSequence() const { return m_next; }
+    std::uint64_t nextSequence() const { return m_nextSequence; }
 
 private:
     void addEvent(const std::vector<std::string> &stored, const std::vector<std::string> &evicted)
     {
         Json::Value event(Json::objectValue);
-        event["sequence"] = Json::UInt64(m_next++);
+        event["sequence"] = Json::UInt64(m_nextSequence++);
         for (const std::string &block : stored)
             event["stored"].append(block);
         for (const std::string &block : evicted)
             event["evicted"].append(block);
         m_events.push_back(std::move(event));
-        if (m_events.size() > maxEvents)
+        if (m_events.size() > maxCacheEvents)
             m_events.pop_front();
     }
 
     std::size_t m_capacity;
-    std::list<std::string> m_order;
-    std::unordered_map<std::string, std::list<std::string>::iterator> m_places;
+    std::list<std::string> m_lruOrder;
+    std::unordered_map<std::string, std::list<std::string>::iterator> m_positions;
     std::list<Json::Value> m_events;
-    std::uint64_t m_next = 1;
+    std::uint64_t m_nextSequence = 1;
 };
 
-/// A model engine: deterministic tokens after a time for the prompt that its cache does not hold.
+/// Stand-in for a model engine: generates deterministic tokens after a delay for the prompt tokens
+/// that its cache does not hold.
 class standin_engine
 {
 public:
@@ -111,7 +113,7 @@
         if (path == "/state")
             serveState(request, response);
         else if (path == "/orders/load")
-            serveLoad(request, response);
+            serveLoadOrder(request, response);
         else if (path == "/cancel")
             serveCancel(request, response);
         else if (path == "/admin")
@@ -123,10 +125,10 @@
 private:
     struct generation
     {
-        std::string attempt;
-        bool stream = false;
-        int tokens = 0;
-        int from = 0;
+        std::string attemptId;
+        bool isStream = false;
+        int tokenCount = 0;
+        int firstToken = 0;
         std::size_t cachedBlocks = 0;
         std::size_t promptTokens = 0;
         std::uint64_t seed = 0;
@@ -135,39 +137,42 @@
     void serveState(Poco::Net::HTTPServerRequest &request, Poco::Net::HTTPServerResponse &response)
     {
         const std::lock_guard<std::mutex> lock(m_mutex);
-        const std::uint64_t from = std::strtoull(queryOf(request, "from").c_str(), nullptr, 10);
+        const std::uint64_t firstSequence =
+            std::strtoull(queryParameter(request, "from").c_str(), nullptr, 10);
         Json::Value state(Json::objectValue);
         state["incarnation"] = Json::UInt64(m_incarnation);
         state["version"] = m_version;
-        state["running"] = Json::UInt64(static_cast<std::uint64_t>(m_running.load()));
+        state["running"] = Json::UInt64(static_cast<std::uint64_t>(m_runningCount.load()));
         state["queued"] = Json::UInt64(0);
-        state["queued_tokens"] = m_waitingTokens.load();
+        state["queued_tokens"] = m_queuedTokens.load();
         state["prefill_rate"] = m_options.prefillRate;
         state["next_sequence"] = Json::UInt64(m_cache.nextSequence());
-        state["events"] = from == 0 ? Json::Value(Json::arrayValue) : m_cache.eventsFrom(from);
-        answerJson(response, 200, writeJson(state));
+        state["events"] =
+            firstSequence == 0 ? Json::Value(Json::arrayValue) : m_cache.eventsFrom(firstSequence);
+        sendJson(response, 200, writeJson(state));
     }
 
-    void serveLoad(Poco::Net::HTTPServerRequest &request, Poco::Net::HTTPServerResponse &response)
+    void serveLoadOrder(Poco::Net::HTTPServerRequest &request,
+                        Poco::Net::HTTPServerResponse &response)
     {
-        const result<Json::Value> order = parseJson(bodyOf(request), "an order");
+        const result<Json::Value> order = parseJson(readRequestBody(request), "an order");
         if (!order) {
-            answerJson(response, 400, "{}");
+            sendJson(response, 400, "{}");
             return;
         }
         const std::uint64_t epoch = integerOr(*order, "epoch");
         {
             const std::lock_guard<std::mutex> lock(m_mutex);
-            if (m_options.fenced && epoch < m_epoch) {
-                answerJson(response, 409, "{}");
+            if (m_options.isFenced && epoch < m_epoch) {
+                sendJson(response, 409, "{}");
                 return;
             }
             m_epoch = std::max(m_epoch, epoch);
             m_version.clear();
-            m_cache.clear(); // blocks of other weights are worth nothing
+            m_cache.clear(); // cached blocks are only valid for the weights that computed them
         }
-        answerJson(response, 200, "{}");
-        std::this_thread::sleep_for(loadTime);
+        sendJson(response, 200, "{}");
+        std::this_thread::sleep_for(weightsLoadTime);
         const std::lock_guard<std::mutex> lock(m_mutex);
         m_version = textOr(*order, "version");
         ++m_incarnation;
@@ -175,86 +180,87 @@
 
     void serveCancel(Poco::Net::HTTPServerRequest &request, Poco::Net::HTTPServerResponse &response)
     {
-        const result<Json::Value> order = parseJson(bodyOf(request), "an order");
+        const result<Json::Value> body = parseJson(readRequestBody(request), "a cancellation");
         const std::lock_guard<std::mutex> lock(m_mutex);
-        if (order)
-            m_cancelled.insert(textOr(*order, "attempt"));
-        answerJson(response, 200, "{}");
+        if (body)
+            m_cancelledAttempts.insert(textOr(*body, "attempt"));
+        sendJson(response, 200, "{}");
     }
 
     void serveAdmin(Poco::Net::HTTPServerRequest &request, Poco::Net::HTTPServerResponse &response)
     {
         const std::lock_guard<std::mutex> lock(m_mutex);
         if (request.getMethod() == "POST") {
-            const result<Json::Value> order = parseJson(bodyOf(request), "an order");
-            if (order) {
-                m_mode = textOr(*order, "mode", m_mode);
-                m_modeCount = static_cast<int>(integerOr(*order, "count", 1));
-                m_modeVersion = textOr(*order, "version");
+            const result<Json::Value> command =
+                parseJson(readRequestBody(request), "an admin command");
+            if (command) {
+                m_faultMode = textOr(*command, "mode", m_faultMode);
+                m_faultCount = static_cast<int>(integerOr(*command, "count", 1));
+                m_faultVersion = textOr(*command, "version");
             }
         }
         Json::Value answer(Json::objectValue);
-        answer["requests"] = Json::UInt64(m_requests.load());
-        answer["cancelled"] = Json::UInt64(m_cancelled.size());
+        answer["requests"] = Json::UInt64(m_requestCount.load());
+        answer["cancelled"] = Json::UInt64(m_cancelledAttempts.size());
         answer["authorizations"] = Json::Value(Json::arrayValue);
         for (const std::string &each : m_authorizations)
             answer["authorizations"].append(each);
         answer["version"] = m_version;
-        answerJson(response, 200, writeJson(answer));
+        sendJson(response, 200, writeJson(answer));
     }
 
-    /// Takes one use of the mode asked for, or "".
-    std::string takeMode()
+    /// Returns the fault mode for this request and uses it up once, or "" if none applies.
+    std::string takeFaultMode()
     {
         const std::lock_guard<std::mutex> lock(m_mutex);
-        const bool applies = m_modeVersion.empty() || m_modeVersion == m_version;
-        if (m_modeCount <= 0 || !applies)
+        const bool applies = m_faultVersion.empty() || m_faultVersion == m_version;
+        if (m_faultCount <= 0 || !applies)
             return {};
-        --m_modeCount;
-        return m_mode;
+        --m_faultCount;
+        return m_faultMode;
     }
 
     void serveCompletion(Poco::Net::HTTPServerRequest &request,
                          Poco::Net::HTTPServerResponse &response)
     {
-        ++m_requests;
-        std::string body = bodyOf(request);
+        ++m_requestCount;
+        std::string body = readRequestBody(request);
         body.reserve(body.size() + requestPadding);
         if (body.find("crash the server") != std::string::npos)
             std::_Exit(1);
-        const std::string mode = takeMode();
-        if (mode == "crash")
+        const std::string faultMode = takeFaultMode();
+        if (faultMode == "crash")
             std::_Exit(1);
-        if (mode == "busy" || mode == "error") {
-            answerJson(response, mode == "busy" ? 503 : 500, "{}");
+        if (faultMode == "busy" || faultMode == "error") {
+            sendJson(response, faultMode == "busy" ? 503 : 500, "{}");
             return;
         }
-        if (mode == "freeze")
+        if (faultMode == "freeze")
             std::this_thread::sleep_for(std::chrono::hours(1));
         const result<chat_request> chat = readChatRequest(body);
         if (!chat) {
-            answerJson(response, 400, "{\"error\":{\"message\":\"bad request\"}}");
+            sendJson(response, 400, "{\"error\":{\"message\":\"bad request\"}}");
             return;
         }
         const generation work = prepare(request, *chat);
-        m_running.fetch_add(1);
+        m_runningCount.fetch_add(1);
         response.set("X-Cached-Tokens", std::to_string(work.cachedBlocks * 4000));
-        if (work.stream)
-            stream(work, mode, response);
+        if (work.isStream)
+            sendStream(work, faultMode, response);
         else
-            whole(work, mode, response);
-        m_running.fetch_sub(1);
+            sendCompletion(work, faultMode, response);
+        m_runningCount.fetch_sub(1);
     }
 
     generation prepare(Poco::Net::HTTPServerRequest &request, const chat_request &chat)
     {
         generation work;
-        work.attempt = request.get("X-Attempt", "");
-        work.stream = chat.stream;
-        constexpr std::int64_t mostTokens = 24;
-        work.tokens = static_cast<int>(
-            std::min<std::int64_t>(chat.maxTokens > 0 ? chat.maxTokens : mostTokens, 4096));
-        work.from = std::atoi(request.get("X-Resume-From", "0").c_str());
+        work.attemptId = request.get("X-Attempt", "");
+        work.isStream = chat.stream;
+        constexpr std::int64_t defaultMaxTokens = 24;
+        work.tokenCount = static_cast<int>(
+            std::min<std::int64_t>(chat.maxTokens > 0 ? chat.maxTokens : defaultMaxTokens, 4096));
+        work.firstToken = std::atoi(request.get("X-Resume-From", "0").c_str());
         std::size_t bytes = 0;
         for (const std::string_view piece : chat.prompt) {
             bytes += piece.size();
@@ -262,22 +268,22 @@
         }
         work.promptTokens = bytes / 4;
         std::vector<std::string> blocks;
-        std::istringstream list(request.get("X-Prefix-Blocks", ""));
+        std::istringstream blockList(request.get("X-Prefix-Blocks", ""));
         std::string block;
-        while (std::getline(list, block, ','))
+        while (std::getline(blockList, block, ','))
             blocks.push_back(block);
-        double missing = 0;
+        double uncachedTokens = 0;
         {
             const std::lock_guard<std::mutex> lock(m_mutex);
             m_authorizations.insert(request.get("Authorization", ""));
             work.cachedBlocks = m_cache.use(blocks);
         }
-        missing =
+        uncachedTokens =
             static_cast<double>(work.promptTokens) - static_cast<double>(work.cachedBlocks) * 4000;
-        missing = std::max(0.0, missing);
-        m_waitingTokens.store(m_waitingTokens.load() + missing);
-        std::this_thread::sleep_for(fromSeconds(missing / m_options.prefillRate));
-        m_waitingTokens.store(std::max(0.0, m_waitingTokens.load() - missing));
+        uncachedTokens = std::max(0.0, uncachedTokens);
+        m_queuedTokens.store(m_queuedTokens.load() + uncachedTokens);
+        std::this_thread::sleep_for(fromSeconds(uncachedTokens / m_options.prefillRate));
+        m_queuedTokens.store(std::max(0.0, m_queuedTokens.load() - uncachedTokens));
         return work;
     }
 
@@ -290,68 +296,68 @@
     {
         Json::Value usage(Json::objectValue);
         usage["prompt_tokens"] = Json::UInt64(work.promptTokens);
-        usage["completion_tokens"] = work.tokens;
+        usage["completion_tokens"] = work.tokenCount;
         usage["prompt_tokens_details"]["cached_tokens"] = Json::UInt64(work.cachedBlocks * 4000);
         return writeJson(usage);
     }
 
-    void whole(const generation &work, const std::string &mode,
-               Poco::Net::HTTPServerResponse &response)
+    void sendCompletion(const generation &work, const std::string &faultMode,
+                        Poco::Net::HTTPServerResponse &response)
     {
         std::string text;
-        for (int i = 0; i < work.tokens; ++i)
+        for (int i = 0; i < work.tokenCount; ++i)
             text += tokenText(work, i);
-        std::this_thread::sleep_for(std::chrono::milliseconds(m_options.tokenMilliseconds)
-                                    * work.tokens);
-        if (mode == "empty") {
-            answerJson(response, 200, "{\"choices\":[]}");
+        std::this_thread::sleep_for(std::chrono::milliseconds(m_options.tokenIntervalMs)
+                                    * work.tokenCount);
+        if (faultMode == "empty") {
+            sendJson(response, 200, "{\"choices\":[]}");
             return;
         }
         const std::string body =
             "{\"object\":\"chat.completion\",\"choices\":[{\"index\":0,\"message\":{\"role\":"
             "\"assistant\",\"content\":\""
             + text + "\"},\"finish_reason\":\"stop\"}],\"usage\":" + usage(work) + "}";
-        if (mode == "cut") {
+        if (faultMode == "cut") {
             response.setContentType("application/json");
             response.setContentLength(static_cast<std::streamsize>(body.size()));
             response.setKeepAlive(false);
             response.send() << body.substr(0, body.size() / 2) << std::flush;
             return;
         }
-        answerJson(response, 200, body);
+        sendJson(response, 200, body);
     }
 
-    bool isCancelled(const std::string &attempt)
+    bool isCancelled(const std::string &attemptId)
     {
         const std::lock_guard<std::mutex> lock(m_mutex);
-        return m_cancelled.contains(attempt);
+        return m_cancelledAttempts.contains(attemptId);
     }
 
-    void stream(const generation &work, const std::string &mode,
-                Poco::Net::HTTPServerResponse &response)
+    void sendStream(const generation &work, const std::string &faultMode,
+                    Poco::Net::HTTPServerResponse &response)
     {
         response.setContentType("text/event-stream");
         response.setChunkedTransferEncoding(true);
         std::ostream &out = response.send();
-        for (int i = work.from; i < work.tokens && mode != "empty"; ++i) {
-            if (isCancelled(work.attempt))
+        for (int i = work.firstToken; i < work.tokenCount && faultMode != "empty"; ++i) {
+            if (isCancelled(work.attemptId))
                 return;
-            if (mode == "cut" && i - work.from == work.tokens / 2) {
+            if (faultMode == "cut" && i - work.firstToken == work.tokenCount / 2) {
                 response.setKeepAlive(false);
                 return;
             }
-            if (mode == "die" && i - work.from == work.tokens / 2)
+            if (faultMode == "die" && i - work.firstToken == work.tokenCount / 2)
                 std::_Exit(1);
             const std::string event = "id: " + std::to_string(i)
                 + "\ndata: {\"object\":\"chat.completion.chunk\",\"choices\":[{\"index\":0,"
                   "\"delta\":{\"content\":\""
                 + tokenText(work, i) + "\"}}]}\n\n";
             out << event << std::flush;
-            if (mode == "twice")
+            if (faultMode == "twice")
                 out << event << std::flush;
             if (!out.good())
                 return;
-            std::this_thread::sleep_for(std::chrono::milliseconds(m_options.tokenMilliseconds));
+            std::this_thread::sleep_for(std::chrono::milliseconds(m_options.tokenIntervalMs));
         }
         out << "data: [DONE]\n\n" << std::flush;
     }
@@ -362,14 +368,14 @@
     std::string m_version;
     std::uint64_t m_incarnation;
     std::uint64_t m_epoch = 0;
-    std::string m_mode;
-    int m_modeCount = 0;
-    std::string m_modeVersion;
-    std::set<std::string> m_cancelled;
+    std::string m_faultMode;
+    int m_faultCount = 0;
+    std::string m_faultVersion;
+    std::set<std::string> m_cancelledAttempts;
     std::set<std::string> m_authorizations;
-    std::atomic<int> m_running = 0;
-    std::atomic<double> m_waitingTokens = 0;
-    std::atomic<std::uint64_t> m_requests = 0;
+    std::atomic<int> m_runningCount = 0;
+    std::atomic<double> m_queuedTokens = 0;
+    std::atomic<std::uint64_t> m_requestCount = 0;
 };
 
 } // namespace
@@ -377,7 +383,7 @@
 int runEngine(const standin_options &options)
 {
     standin_engine engine(options);
-    return runStandin(
+    return runHttpServer(
         options.address, engineThreads,
         [&](Poco::Net::HTTPServerRequest &request, Poco::Net::HTTPServerResponse &response) {
             engine.serve(request, response);
--- a/standins/src/standin_platform.cpp
+++ b/standins/src/standin_platform.cpp
@@ -18,7 +18,8 @@
 
 constexpr int watchThreads = 256;
 
-/// The platform's object API over an object_table, with faults on request.
+/// Stand-in for the platform: serves its object API from an object_table. Faults are injected
+/// through /admin.
 class standin_platform
 {
 public:
@@ -37,10 +38,10 @@
             serveAdmin(request, response);
             return;
         }
-        ++m_calls;
-        if (m_out) {
-            // Like a platform that is down: the caller gets no answer worth the name.
-            answerJson(response, 503, "{}");
+        ++m_callCount;
+        if (m_isDown) {
+            // Simulates an outage: every call fails.
+            sendJson(response, 503, "{}");
             return;
         }
         if (path == "/instances")
@@ -54,22 +55,23 @@
         else if (path.starts_with("/objects/"))
             serveGet(path.substr(9), response);
         else
-            answerJson(response, 404, "{}");
+            sendJson(response, 404, "{}");
     }
 
 private:
     void serveAdmin(Poco::Net::HTTPServerRequest &request, Poco::Net::HTTPServerResponse &response)
     {
         if (request.getMethod() == "POST") {
-            const result<Json::Value> order = parseJson(bodyOf(request), "an order");
-            if (order && (*order)["out"].isBool())
-                m_out = (*order)["out"].asBool();
-            if (order && (*order)["lose_answers"].isInt())
-                m_loseAnswers = (*order)["lose_answers"].asInt();
+            const result<Json::Value> command =
+                parseJson(readRequestBody(request), "an admin command");
+            if (command && (*command)["out"].isBool())
+                m_isDown = (*command)["out"].asBool();
+            if (command && (*command)["lose_answers"].isInt())
+                m_responsesToDrop = (*command)["lose_answers"].asInt();
         }
         Json::Value answer(Json::objectValue);
-        answer["calls"] = Json::UInt64(m_calls.load());
-        answerJson(response, 200, writeJson(answer));
+        answer["calls"] = Json::UInt64(m_callCount.load());
+        sendJson(response, 200, writeJson(answer));
     }
 
     void serveInstances(Poco::Net::HTTPServerResponse &response)
@@ -82,7 +84,7 @@
             entry["leaving"] = false;
             answer["instances"].append(std::move(entry));
         }
-        answerJson(response, 200, writeJson(answer));
+        sendJson(response, 200, writeJson(answer));
     }
 
     void serveGet(const std::string &name, Poco::Net::HTTPServerResponse &response)
@@ -90,9 +92,9 @@
         const std::lock_guard<std::mutex> lock(m_mutex);
         const result<object> found = m_table.get(name);
         if (found)
-            answerJson(response, 200, writeJson(toJson(*found)));
+            sendJson(response, 200, writeJson(toJson(*found)));
         else
-            answerJson(response, 404, "{}");
+            sendJson(response, 404, "{}");
     }
 
     void serveList(Poco::Net::HTTPServerRequest &request, Poco::Net::HTTPServerResponse &response)
@@ -100,52 +102,53 @@
         const std::lock_guard<std::mutex> lock(m_mutex);
         Json::Value answer(Json::objectValue);
         answer["items"] = Json::Value(Json::arrayValue);
-        for (const object &item : m_table.list(queryOf(request, "prefix")))
+        for (const object &item : m_table.list(queryParameter(request, "prefix")))
             answer["items"].append(toJson(item));
-        answerJson(response, 200, writeJson(answer));
+        sendJson(response, 200, writeJson(answer));
     }
 
     void servePut(const std::string &name, Poco::Net::HTTPServerRequest &request,
                   Poco::Net::HTTPServerResponse &response)
     {
-        const std::string value = bodyOf(request);
+        const std::string value = readRequestBody(request);
         const std::uint64_t expected =
-            std::strtoull(queryOf(request, "expected").c_str(), nullptr, 10);
+            std::strtoull(queryParameter(request, "expected").c_str(), nullptr, 10);
         result<std::uint64_t> written = failure("", "");
         {
             const std::lock_guard<std::mutex> lock(m_mutex);
             written = m_table.put(name, value, expected);
         }
         m_changed.notify_all();
-        if (written && m_loseAnswers > 0) {
-            --m_loseAnswers;
+        if (written && m_responsesToDrop > 0) {
+            --m_responsesToDrop;
             static_cast<void>(request.stream());
             response.setContentLength(100);
-            response.send() << "{"; // cut: the caller can't know that it took effect
+            response.send() << "{"; // truncated: the client can't tell that the write took effect
             response.setKeepAlive(false);
             return;
         }
         Json::Value answer(Json::objectValue);
         answer["version"] = Json::UInt64(written.value_or(0));
-        answerJson(response, written ? 200 : 409, writeJson(answer));
+        sendJson(response, written ? 200 : 409, writeJson(answer));
     }
 
     void serveWatch(Poco::Net::HTTPServerRequest &request, Poco::Net::HTTPServerResponse &response)
     {
-        const std::string prefix = queryOf(request, "prefix");
-        const std::uint64_t from = std::strtoull(queryOf(request, "from").c_str(), nullptr, 10);
-        const std::chrono::milliseconds patience(
-            std::strtol(queryOf(request, "wait_ms").c_str(), nullptr, 10));
+        const std::string prefix = queryParameter(request, "prefix");
+        const std::uint64_t sinceVersion =
+            std::strtoull(queryParameter(request, "from").c_str(), nullptr, 10);
+        const std::chrono::milliseconds timeout(
+            std::strtol(queryParameter(request, "wait_ms").c_str(), nullptr, 10));
         object_changes changes;
         {
             std::unique_lock<std::mutex> lock(m_mutex);
-            m_changed.wait_for(lock, patience, [&] {
-                changes = m_table.changesSince(prefix, from);
-                return !changes.changed.empty() || m_out.load();
+            m_changed.wait_for(lock, timeout, [&] {
+                changes = m_table.changesSince(prefix, sinceVersion);
+                return !changes.changed.empty() || m_isDown.load();
             });
         }
-        if (m_out) {
-            answerJson(response, 503, "{}");
+        if (m_isDown) {
+            sendJson(response, 503, "{}");
             return;
         }
         Json::Value answer(Json::objectValue);
@@ -153,16 +156,16 @@
         answer["changed"] = Json::Value(Json::arrayValue);
         for (const object &item : changes.changed)
             answer["changed"].append(toJson(item));
-        answerJson(response, 200, writeJson(answer));
+        sendJson(response, 200, writeJson(answer));
     }
 
     std::mutex m_mutex;
     std::condition_variable m_changed;
     object_table m_table;
     std::vector<std::string> m_instances;
-    std::atomic<bool> m_out = false;
-    std::atomic<int> m_loseAnswers = 0;
-    std::atomic<std::uint64_t> m_calls = 0;
+    std::atomic<bool> m_isDown = false;
+    std::atomic<int> m_responsesToDrop = 0;
+    std::atomic<std::uint64_t> m_callCount = 0;
 };
 
 } // namespace
@@ -170,7 +173,7 @@
 int runPlatform(const standin_options &options)
 {
     standin_platform platform(options.instances);
-    return runStandin(
+    return runHttpServer(
         options.address, watchThreads,
         [&](Poco::Net::HTTPServerRequest &request, Poco::Net::HTTPServerResponse &response) {
             platform.serve(request, response);
--- a/standins/src/standin_server.cpp
+++ b/standins/src/standin_server.cpp
@@ -19,52 +19,54 @@
 class function_handler : public Poco::Net::HTTPRequestHandler
 {
 public:
-    explicit function_handler(const standin_handler &handler) : m_handler(handler) { }
+    explicit function_handler(const request_handler &handler) : m_handler(handler) { }
 
     void handleRequest(Poco::Net::HTTPServerRequest &request,
                        Poco::Net::HTTPServerResponse &response) override
     {
         try {
             if (request.getMethod() == Poco::Net::HTTPRequest::HTTP_OPTIONS)
-                answerJson(response, 200, "{}"); // asked to tell whether the process lives
+                sendJson(response, 200, "{}"); // liveness probe
             else
                 m_handler(request, response);
         } catch (const std::exception &) {
-            response.setKeepAlive(false); // the other side went away
+            response.setKeepAlive(false); // the peer closed the connection
         }
     }
 
 private:
-    const standin_handler &m_handler;
+    const request_handler &m_handler;
 };
 
-class function_factory : public Poco::Net::HTTPRequestHandlerFactory
+class function_handler_factory : public Poco::Net::HTTPRequestHandlerFactory
 {
 public:
-    explicit function_factory(standin_handler handler) : m_handler(std::move(handler)) { }
+    explicit function_handler_factory(request_handler handler) : m_handler(std::move(handler)) { }
 
     Poco::Net::HTTPRequestHandler *
     createRequestHandler(const Poco::Net::HTTPServerRequest &) override
     {
-        return new function_handler(m_handler); // the server deletes it
+        return new function_handler(m_handler); // owned and deleted by the server
     }
 
 private:
-    standin_handler m_handler;
+    request_handler m_handler;
 };
 
 } // namespace
 
-int runStandin(const endpoint &place, int threads, standin_handler handler)
+int runHttpServer(const endpoint &address, int threads, request_handler handler)
 {
-    sigset_t set;
-    sigemptyset(&set);
-    sigaddset(&set, SIGTERM);
-    sigaddset(&set, SIGINT);
-    pthread_sigmask(SIG_BLOCK, &set, nullptr);
+    sigset_t signals;
+    sigemptyset(&signals);
+    sigaddset(&signals, SIGTERM);
+    sigaddset(&signals, SIGINT);
+    pthread_sigmask(SIG_BLOCK, &signals, nullptr);
     std::signal(SIGPIPE, SIG_IGN);
-    const child_body listener = httpListener(
-        {.place = place, .threads = threads, .factory = new function_factory(std::move(handler))});
+    const child_body listener =
+        httpListener({.place = address,
+                      .threads = threads,
+                      .factory = new function_handler_factory(std::move(handler))});
     std::jthread server([&](const std::stop_token &stop) {
         const result<void> end = listener(stop);
         if (!end) {
@@ -73,26 +75,26 @@
         }
     });
     int signal = 0;
-    sigwait(&set, &signal);
-    // Nothing of a stand-in needs a graceful end.
+    sigwait(&signals, &signal);
+    // Stand-ins need no graceful shutdown.
     std::_Exit(0);
 }
 
-void answerJson(Poco::Net::HTTPServerResponse &response, int status, const std::string &body)
+void sendJson(Poco::Net::HTTPServerResponse &response, int status, const std::string &body)
 {
     response.setStatus(static_cast<Poco::Net::HTTPResponse::HTTPStatus>(status));
     response.setContentType("application/json");
     response.sendBuffer(body.data(), body.size());
 }
 
-std::string bodyOf(Poco::Net::HTTPServerRequest &request)
+std::string readRequestBody(Poco::Net::HTTPServerRequest &request)
 {
     std::string body;
     readBody(request.stream(), maxBodyBytes, body);
     return body;
 }
 
-std::string queryOf(const Poco::Net::HTTPServerRequest &request, const std::string &name)
+std::string queryParameter(const Poco::Net::HTTPServerRequest &request, const std::string &name)
 {
     return queryValue(Poco::URI(request.getURI()), name);
 }
--- a/standins/src/standin_server.h
+++ b/standins/src/standin_server.h
@@ -9,36 +9,39 @@
 
 namespace trefoil {
 
-/// Serves one request; runs on many threads.
-using standin_handler =
+/// Serves one request. Called concurrently from several threads.
+using request_handler =
     std::function<void(Poco::Net::HTTPServerRequest &, Poco::Net::HTTPServerResponse &)>;
 
-/// Serves HTTP on @p place until SIGTERM or SIGINT. Returns the program's exit status.
-int runStandin(const endpoint &place, int threads, standin_handler handler);
+/// Serves HTTP on @p address until SIGTERM or SIGINT, then exits the process with status 0. Does
+/// not return.
+int runHttpServer(const endpoint &address, int threads, request_handler handler);
 
-/// Answers with @p status and a JSON body.
-void answerJson(Poco::Net::HTTPServerResponse &response, int status, const std::string &body);
+/// Sends a response with @p status and a JSON body.
+void sendJson(Poco::Net::HTTPServerResponse &response, int status, const std::string &body);
 
-/// Reads the request's whole body.
-std::string bodyOf(Poco::Net::HTTPServerRequest &request);
+/// Reads the complete request body.
+std::string readRequestBody(Poco::Net::HTTPServerRequest &request);
 
 /// Returns the query parameter @p name of the request's URI, or "".
-std::string queryOf(const Poco::Net::HTTPServerRequest &request, const std::string &name);
+std::string queryParameter(const Poco::Net::HTTPServerRequest &request, const std::string &name);
 
-/// What the stand-ins are started with.
+/// Command line options; each stand-in uses its own.
 struct standin_options
 {
     endpoint address;
     std::string name;
-    /// platform: names of instances in its list, separated by commas.
+    /// platform: names of the listed instances, separated by commas.
     std::string instances;
-    /// engine: version, blocks in the cache, prompt tokens a second, time between tokens.
+    /// engine: weights version, cache capacity in blocks, prompt tokens per second, milliseconds
+    /// between generated tokens, whether orders with an outdated fencing token are refused.
     std::string version = "v1";
     std::size_t cacheBlocks = 200;
     double prefillRate = 200000;
-    int tokenMilliseconds = 2;
-    bool fenced = false;
-    /// load: target, key, requests, rate, prompt bytes.
+    int tokenIntervalMs = 2;
+    bool isFenced = false;
+    /// load: target, API key, model, number of requests, requests per second, bytes of the shared
+    /// prompt, file to append the result to, label of the result.
     endpoint target;
     std::string key;
     std::string model;
--- a/standins/src/standin_service.cpp
+++ b/standins/src/standin_service.cpp
@@ -15,14 +15,15 @@
 
 constexpr int serviceThreads = 64;
 
-/// A plain service whose calls may not be repeated: it keeps a log of every run.
+/// Stand-in for a service with non-idempotent calls. Logs every execution, so that tests can count
+/// them.
 class standin_service
 {
 public:
     void serve(Poco::Net::HTTPServerRequest &request, Poco::Net::HTTPServerResponse &response)
     {
         const std::string path = Poco::URI(request.getURI()).getPath();
-        const std::string body = bodyOf(request);
+        const std::string body = readRequestBody(request);
         const std::lock_guard<std::mutex> lock(m_mutex);
         if (path == "/admin") {
             serveAdmin(request, body, response);
@@ -31,14 +32,14 @@
         if (request.getMethod() == "GET") {
             Json::Value answer(Json::objectValue);
             answer["runs"] = Json::UInt64(m_runs.size());
-            answerJson(response, 200, writeJson(answer));
+            sendJson(response, 200, writeJson(answer));
             return;
         }
         m_runs.push_back(body);
         m_authorizations.insert(request.get("Authorization", ""));
-        if (m_dieAfterRun) {
-            m_dieAfterRun = false;
-            // The run took effect and its answer is lost.
+        if (m_truncatesNextResponse) {
+            m_truncatesNextResponse = false;
+            // The call has taken effect, but its response is lost.
             response.setContentLength(100);
             response.setKeepAlive(false);
             response.send() << "{" << std::flush;
@@ -46,7 +47,7 @@
         }
         Json::Value answer(Json::objectValue);
         answer["number"] = Json::UInt64(m_runs.size());
-        answerJson(response, 201, writeJson(answer));
+        sendJson(response, 201, writeJson(answer));
     }
 
 private:
@@ -54,8 +55,8 @@
                     Poco::Net::HTTPServerResponse &response)
     {
         if (request.getMethod() == "POST") {
-            const result<Json::Value> order = parseJson(body, "an order");
-            m_dieAfterRun = order && textOr(*order, "mode") == "cut";
+            const result<Json::Value> command = parseJson(body, "an admin command");
+            m_truncatesNextResponse = command && textOr(*command, "mode") == "cut";
         }
         Json::Value answer(Json::objectValue);
         answer["runs"] = Json::Value(Json::arrayValue);
@@ -64,13 +65,13 @@
         answer["authorizations"] = Json::Value(Json::arrayValue);
         for (const std::string &each : m_authorizations)
             answer["authorizations"].append(each);
-        answerJson(response, 200, writeJson(answer));
+        sendJson(response, 200, writeJson(answer));
     }
 
     std::mutex m_mutex;
     std::vector<std::string> m_runs;
     std::set<std::string> m_authorizations;
-    bool m_dieAfterRun = false;
+    bool m_truncatesNextResponse = false;
 };
 
 } // namespace
@@ -78,7 +79,7 @@
 int runService(const standin_options &options)
 {
     standin_service service;
-    return runStandin(
+    return runHttpServer(
         options.address, serviceThreads,
         [&](Poco::Net::HTTPServerRequest &request, Poco::Net::HTTPServerResponse &response) {
             service.serve(request, response);
