--- a/examples/embedding/main.cpp
+++ b/examples/embedding/main.cpp
@@ -9,17 +9,18 @@
 
 namespace {
 
-/// Object of the store that holds a right: here a map, elsewhere any store with conditional update.
-struct stored_record
+/// Stored lease record with the version for conditional updates. This example keeps records in a
+/// map; any store with conditional updates will do.
+struct versioned_record
 {
     std::uint64_t version = 0;
     lease_record record;
 };
 
-/// One member of a fleet of two.
-struct party
+/// One of the instances that share the limit.
+struct member
 {
-    party(const std::string &name, timestamp now)
+    member(const std::string &name, timestamp now)
         : keeper({.self = name, .zone = name, .keys = shardKeys(1)}, now),
           limits({.self = name, .shards = 1}, keeper)
     { }
@@ -28,24 +29,24 @@
     limit_node limits;
 };
 
-/// Delivers what the members ask of each other and of the store, at once.
-void step(std::map<std::string, party> &fleet, std::map<std::string, stored_record> &store,
-          timestamp now)
+/// Delivers all pending messages between the members and all store operations without delay.
+void exchangeMessages(std::map<std::string, member> &fleet,
+                      std::map<std::string, versioned_record> &store, timestamp now)
 {
-    lease_fleet known;
-    for (const std::pair<const std::string, party> &each : fleet) {
-        known.usable.push_back({.name = each.first, .zone = each.first});
-        known.known.push_back(each.first);
+    lease_fleet fleetView;
+    for (const std::pair<const std::string, member> &each : fleet) {
+        fleetView.usable.push_back({.name = each.first, .zone = each.first});
+        fleetView.known.push_back(each.first);
     }
-    for (std::pair<const std::string, party> &each : fleet) {
-        party &self = each.second;
-        self.keeper.setFleet(now, known);
+    for (std::pair<const std::string, member> &each : fleet) {
+        member &self = each.second;
+        self.keeper.setFleet(now, fleetView);
         for (const lease_action &action : self.keeper.tick(now)) {
             if (const confirm_call *call = std::get_if<confirm_call>(&action)) {
                 const confirm_answer answer = fleet.at(call->to).keeper.onAsk(now, call->ask);
                 self.keeper.onAnswer(now, call->id, answer);
             } else if (const record_write *write = std::get_if<record_write>(&action)) {
-                stored_record &item = store[write->key];
+                versioned_record &item = store[write->key];
                 const bool matches = item.version == write->expected;
                 if (matches)
                     item = {.version = item.version + 1, .record = write->record};
@@ -54,7 +55,7 @@
                                       item.version);
             } else {
                 const std::string &key = std::get<record_read>(action).key;
-                const stored_record &item = store[key];
+                const versioned_record &item = store[key];
                 self.keeper.onRecord(now, key, item.version,
                                      item.version == 0 ? std::optional<lease_record>()
                                                        : item.record);
@@ -71,13 +72,14 @@
 
 } // namespace
 
-/// Two members admit requests of one team for ten seconds, three times what its rate allows.
+/// Simulates ten seconds in which two members receive requests for three times the tokens that the
+/// team's rate allows.
 int main()
 {
     const token_limit limit {.rate = 1000, .burst = 8000};
     const timestamp start {std::chrono::seconds(100)};
-    std::map<std::string, party> fleet;
-    std::map<std::string, stored_record> store;
+    std::map<std::string, member> fleet;
+    std::map<std::string, versioned_record> store;
     for (const char *name : {"a", "b"}) {
         fleet.try_emplace(name, name, start);
         fleet.at(name).limits.setTeams(start, {{"reef", limit}});
@@ -85,21 +87,21 @@
     constexpr int steps = 1000;
     constexpr double tokens = 300;
     double admitted = 0;
-    std::uint64_t next = 1;
+    std::uint64_t nextRequest = 1;
     timestamp now = start;
     for (int i = 0; i < steps; ++i) {
         now += std::chrono::milliseconds(10);
-        step(fleet, store, now);
+        exchangeMessages(fleet, store, now);
         const bool hasTraffic = i >= steps / 2 && i % 10 == 0;
-        for (std::pair<const std::string, party> &each : fleet) {
+        for (std::pair<const std::string, member> &each : fleet) {
             if (hasTraffic)
-                each.second.limits.request(now, next++, "reef", tokens);
+                each.second.limits.request(now, nextRequest++, "reef", tokens);
             for (const admission &decision : each.second.limits.takeDecisions())
                 admitted += decision.kind == admission::outcome::Admitted ? tokens : 0;
         }
     }
     const double allowed = limit.burst + limit.rate * toSeconds(now - start) / 2;
     std::cout << "admitted " << admitted << " of at most " << allowed << " tokens\n";
-    const bool isFair = admitted <= allowed && admitted >= 0.8 * allowed;
-    return isFair ? 0 : 1;
+    const bool isWithinBounds = admitted <= allowed && admitted >= 0.8 * allowed;
+    return isWithinBounds ? 0 : 1;
 }
