--- a/scripts/lib/cluster.sh
+++ b/scripts/lib/cluster.sh
@@ -1,8 +1,8 @@
-# Starts and stops the processes of a small deployment on 127.0.0.x: sourced by the demo, the
-# session tests and the benchmarks. Every process is ended by its id.
+# Functions that start and stop a small deployment on 127.0.0.x, sourced by the demo, the session
+# tests and the benchmarks. Processes are only signalled by their ids.
 #
-#   cluster_start DIR [ENGINES]   one platform, six instances in three zones, engines, one service
-#   cluster_stop                  ends what was started
+#   cluster_start DIR   starts a platform, six instances in three zones, four engines and a service
+#   cluster_stop        stops all processes that were started
 #
 # Addresses: instance i 127.0.0.(10+i), ports 8080 (callers), 8081 (peers), 8082 (operators);
 # platform 127.0.0.2:9000; engine i 127.0.0.(30+i):9001; service 127.0.0.60:9002.
@@ -30,21 +30,21 @@
   unset "pids[$1]"
 }
 
-wait_gone() { # PID [SECONDS]
-  local pid=$1 left=$((${2:-15} * 20))
+wait_for_exit() { # PID [SECONDS]: waits for the process to exit
+  local pid=$1 attempts_left=$((${2:-15} * 20))
   while kill -0 "$pid" 2>/dev/null; do
-    left=$((left - 1))
-    [ "$left" -gt 0 ] || return 1
+    attempts_left=$((attempts_left - 1))
+    [ "$attempts_left" -gt 0 ] || return 1
     sleep 0.05
   done
 }
 
-wait_until() { # SECONDS COMMAND...: retries the command until it succeeds
-  local left=$(($1 * 20))
+wait_until() { # SECONDS COMMAND...: retries the command until it succeeds, or fails after SECONDS
+  local attempts_left=$(($1 * 20))
   shift
   until "$@" >/dev/null 2>&1; do
-    left=$((left - 1))
-    [ "$left" -gt 0 ] || return 1
+    attempts_left=$((attempts_left - 1))
+    [ "$attempts_left" -gt 0 ] || return 1
     sleep 0.05
   done
 }
@@ -84,9 +84,9 @@
 cluster_start() { # DIR
   dir=$1
   mkdir -p "$dir"
-  local names="" i
-  for ((i = 1; i <= instances; i++)); do names+="${names:+,}entry-$i"; done
-  start_process platform "$standin" platform --address "$platform" --instances "$names"
+  local instance_names="" i
+  for ((i = 1; i <= instances; i++)); do instance_names+="${instance_names:+,}entry-$i"; done
+  start_process platform "$standin" platform --address "$platform" --instances "$instance_names"
   for i in 1 2 3 4; do start_engine "$i" "$([ "$i" -lt 4 ] && echo v1 || echo v2)" ${engine_flags:-}; done
   start_process service "$standin" service --address "$service"
   wait_until 5 curl -sf -m 1 "http://$platform/instances"
@@ -100,17 +100,18 @@
     start_instance "$i"
   done
   for ((i = 1; i <= instances; i++)); do wait_until 10 instance_ready "$i" || return 1; done
-  # Serving needs an owner for each team's limit; the first confirmations take a moment.
-  wait_until 15 has_owners || return 1
-  for ((i = 1; i <= instances; i++)); do wait_until 10 lists_all_entries "$i" || return 1; done
+  # Requests are only served while every team's limit has an owner. Confirming the first owners
+  # takes a moment.
+  wait_until 15 limits_have_owners || return 1
+  for ((i = 1; i <= instances; i++)); do wait_until 10 entry_list_is_complete "$i" || return 1; done
 }
 
-lists_all_entries() { # I
+entry_list_is_complete() { # I
   curl -sf -m 2 -H "Authorization: Bearer $key_reef" "http://127.0.0.$((10 + $1)):8080/v1/entry" |
     jq -e --argjson n "$instances" '(.entries | length) == $n'
 }
 
-has_owners() {
+limits_have_owners() {
   curl -sf -m 2 http://127.0.0.11:8082/status |
     jq -e --argjson n "$instances" '(.limit_owners | length > 0 and all(. != ""))
       and ([.members[] | select(.state == "alive")] | length == $n)'
@@ -118,18 +119,18 @@
 
 cluster_stop() {
   local name pid
-  local waiting=()
+  local stopped_pids=()
   for name in "${!pids[@]}"; do
-    waiting+=("${pids[$name]}")
+    stopped_pids+=("${pids[$name]}")
     case $name in
     entry-*) stop_process "$name" KILL ;;
     *) stop_process "$name" TERM ;;
     esac
   done
-  for pid in "${waiting[@]}"; do wait_gone "$pid" 10 || kill -KILL "$pid" 2>/dev/null || true; done
+  for pid in "${stopped_pids[@]}"; do wait_for_exit "$pid" 10 || kill -KILL "$pid" 2>/dev/null || true; done
 }
 
-# A shared prompt of about 5 blocks of 4,000 tokens.
+# Prints a prompt of about 5 cache blocks of 4,000 tokens, as a repeated letter.
 long_prompt() { head -c 80000 /dev/zero | tr '\0' "${1:-x}"; }
 
 chat_body() { # MODEL QUESTION STREAM [PROMPT-LETTER]
--- a/tests/sessions/check.sh
+++ b/tests/sessions/check.sh
@@ -1,5 +1,5 @@
-# The check verb: a table with five faults names all of them by line; the examples have none; exit
-# statuses and help of every verb.
+# The check command reports all five errors of a table with their lines, and none for the examples.
+# Also covers the help of every command and exit statuses.
 . "$(dirname "$0")/../../scripts/lib/cluster.sh"
 work=$(mktemp -d)
 trap 'rm -rf "$work"' EXIT
@@ -19,12 +19,12 @@
 "$router" check --routes routes.yaml
 echo "status $?"
 "$router" check --routes routes.yaml --format json | jq -c '[.[].line]'
-for place in palermo brkovina demo; do
-  echo "$place: $("$router" check --routes "$root/examples/$place/routes.yaml" --pools "$root/examples/$place/pools.yaml")"
+for example in palermo brkovina demo; do
+  echo "$example: $("$router" check --routes "$root/examples/$example/routes.yaml" --pools "$root/examples/$example/pools.yaml")"
 done
 "$router" check --routes "$root/examples/palermo/routes.yaml" --pools "$root/examples/brkovina/pools.yaml" | sed "s#$root/##"
-for verb in serve check apply status keys version help; do
-  "$router" "$verb" --help >/dev/null && echo "$verb has help"
+for command in serve check apply status keys version help; do
+  "$router" "$command" --help >/dev/null && echo "$command has help"
 done
 "$router" nonsense 2>/dev/null
 echo "an unknown verb: status $?"
