--- a/standins/src/standin_server.cpp
+++ b/standins/src/standin_server.cpp
@@ -55,7 +55,7 @@
 
 } // namespace
 
-int runStandin(const endpoint &place, int threads, standin_handler handler)
+int runStandin(const endpoint &address, int threads, standin_handler handler)
 {
     sigset_t set;
     sigemptyset(&set);
@@ -63,8 +63,10 @@
     sigaddset(&set, SIGINT);
     pthread_sigmask(SIG_BLOCK, &set, nullptr);
     std::signal(SIGPIPE, SIG_IGN);
-    const child_body listener = httpListener(
-        {.place = place, .threads = threads, .factory = new function_factory(std::move(handler))});
+    const child_body listener =
+        makeHttpListener({.address = address,
+                          .threads = threads,
+                          .factory = new function_factory(std::move(handler))});
     std::jthread server([&](const std::stop_token &stop) {
         const result<void> end = listener(stop);
         if (!end) {
--- a/trefoilrouter/src/backend_client.h
+++ b/trefoilrouter/src/backend_client.h
@@ -19,7 +19,7 @@
 
 namespace trefoil {
 
-/// A request as it goes to a backend server.
+/// A request to a backend server.
 struct backend_request
 {
     std::string method = "POST";
@@ -27,82 +27,87 @@
     std::string contentType = "application/json";
     std::span<const std::string_view> body;
     std::vector<std::pair<std::string, std::string>> headers;
-    /// Whether a kept connection may be used: not for what must not be repeated, since the server
-    /// may close it at the moment the request is sent.
+    /// Whether an idle connection may be reused. Must be false for requests that are not
+    /// idempotent: the server may close an idle connection while the request is being sent.
     bool mayReuse = true;
     duration timeout = std::chrono::seconds(30);
-    /// Asked now and then while the answer is awaited; the attempt is given up when it says so.
-    std::function<bool()> callerIsGone;
+    /// Polled while waiting for the response; the attempt is abandoned once it returns true.
+    std::function<bool()> isCallerGone;
 };
 
 /// Error codes of backend_exchange::start().
 namespace backend_errors {
-/// Nothing was sent.
+/// The connection could not be established: nothing was sent.
 inline constexpr const char *notSent = "not-sent";
+/// The connection broke because the server process exited.
 inline constexpr const char *crashed = "crashed";
-inline constexpr const char *cut = "cut";
+/// The connection broke, but the server process is alive.
+inline constexpr const char *connectionLost = "cut";
 inline constexpr const char *timeout = "timeout";
+/// The caller disconnected before the response began.
 inline constexpr const char *callerGone = "caller-gone";
 } // namespace backend_errors
 
 class backend_client;
 
-/// One attempt: a request sent and its answer being read. Its connection is kept for another only
-/// if finish() was called after the whole answer was read. Not thread-safe.
+/// One HTTP request and its response. The connection is reused only if finish() found the end of
+/// the response. Not thread-safe.
 class backend_exchange
 {
 public:
     using session_ptr = std::unique_ptr<Poco::Net::HTTPClientSession>;
 
-    backend_exchange(backend_client &client, endpoint place, session_ptr session);
+    backend_exchange(backend_client &client, endpoint address, session_ptr session);
     ~backend_exchange();
     backend_exchange(const backend_exchange &) = delete;
     backend_exchange &operator=(const backend_exchange &) = delete;
 
-    /// Sends @p request and waits for the head of the answer. Errors: those of backend_errors.
+    /// Sends @p request and waits for the response head. Errors: those of backend_errors.
     result<void> start(const backend_request &request);
-    /// The head of the answer. Precondition: start() succeeded.
+    /// Returns the response head. Precondition: start() succeeded.
     const Poco::Net::HTTPResponse &response() const { return m_response; }
-    /// Reads up to @p room bytes of the answer's body, as they come. Returns 0 at the end. Errors:
-    /// crashed, cut, timeout.
-    result<std::size_t> read(std::span<char> room);
-    /// Notes that the answer was read as far as it matters. The connection is used again only if
-    /// the end of the answer follows at once: what is left of it would be taken for the next one.
+    /// Reads the available bytes of the response body into @p buffer, blocking for the first one.
+    /// Returns the number of bytes, 0 at the end. Errors: crashed, connectionLost, timeout.
+    result<std::size_t> read(std::span<char> buffer);
+    /// Releases the connection for reuse if the response ends here. Otherwise the connection is
+    /// closed, since the rest of this response would be read as the start of the next one.
     void finish();
 
 private:
-    tl::unexpected<error> brokenBy(const std::string &message) const;
+    tl::unexpected<error> classifyBrokenConnection(const std::string &message) const;
 
     backend_client &m_client;
-    endpoint m_place;
+    endpoint m_address;
     session_ptr m_session;
     Poco::Net::HTTPResponse m_response;
-    std::istream *m_body = nullptr;
-    bool m_finished = false;
+    std::istream *m_bodyStream = nullptr;
+    bool m_isReusable = false;
 };
 
-/// Connections to backend servers, and what the system asks of an engine besides answers: the
-/// adapter to the engines' protocol. Thread-safe.
+/// Pool of connections to backend servers, and client of the engines' control protocol: state,
+/// load orders and cancellation. Thread-safe.
 class backend_client
 {
 public:
-    /// Returns an exchange with @p place on a kept connection or a new one.
-    std::unique_ptr<backend_exchange> open(const endpoint &place, bool mayReuse, duration timeout);
-    /// Reads the state of the engine that @p poll names.
+    /// Returns an exchange with @p address on an idle connection, if @p mayReuse, or a new one.
+    std::unique_ptr<backend_exchange> open(const endpoint &address, bool mayReuse,
+                                           duration timeout);
+    /// Reads an engine's state and its cache events from @c poll.fromSequence on. Errors: those of
+    /// http_errors, and "bad-state" for a malformed state.
     result<server_state_report> readState(const server_poll &poll);
-    /// Orders an engine to load a version. Errors: "stale-epoch" where the engine refused an old
-    /// fencing number; those of http_errors.
+    /// Orders an engine to load a version. Errors: "stale-epoch" if the engine rejected the fencing
+    /// token as outdated, "refused" for any other error status, and those of http_errors.
     result<void> orderLoad(const server_order &order);
-    /// Tells an engine to stop attempt @p attempt. Failures don't matter.
-    void cancel(const endpoint &place, const std::string &credential, const std::string &attempt);
+    /// Asks an engine to cancel attempt @p attempt. Best effort: errors are ignored.
+    void cancel(const endpoint &address, const std::string &credential, const std::string &attempt);
 
 private:
     friend class backend_exchange;
 
     using session_ptr = backend_exchange::session_ptr;
 
-    session_ptr takeIdle(const endpoint &place);
-    void keep(const endpoint &place, session_ptr session);
+    session_ptr takeIdleSession(const endpoint &address);
+    void returnSession(const endpoint &address, session_ptr session);
 
     std::mutex m_mutex;
     std::map<std::string, std::vector<session_ptr>> m_idle;
--- a/trefoilrouter/src/callers_handler.cpp
+++ b/trefoilrouter/src/callers_handler.cpp
@@ -20,12 +20,12 @@
 
 namespace {
 
-constexpr const char *bearer = "Bearer ";
+constexpr const char *bearerScheme = "Bearer ";
 constexpr const char *idempotencyHeader = "Idempotency-Key";
 
-/// Headers of callers that go no further: what belongs to the connection, what this process sets
-/// itself, and everything that may hold the caller's key.
-const std::set<std::string> &droppedHeaders()
+/// Caller headers that are not forwarded to backend servers: hop-by-hop headers, headers that this
+/// process sets itself, and all that may carry the caller's credentials.
+const std::set<std::string> &unforwardedHeaders()
 {
     static const std::set<std::string> names {
         "authorization",
@@ -52,15 +52,15 @@
     return names;
 }
 
-std::string lowered(std::string text)
+std::string toLower(std::string text)
 {
     std::transform(text.begin(), text.end(), text.begin(),
                    [](unsigned char c) { return static_cast<char>(std::tolower(c)); });
     return text;
 }
 
-/// Returns the callers' address of the instance @p name, or "" where it is not known.
-std::string addressOf(const traffic_snapshot &snapshot, std::string_view name)
+/// Returns the address of the callers' listener of instance @p name, or "" if it is unknown.
+std::string callersAddressOf(const traffic_snapshot &snapshot, std::string_view name)
 {
     for (const member &each : snapshot.members) {
         if (each.info.name == name)
@@ -78,22 +78,22 @@
     if (refusal.status == 429)
         item["type"] = "rate_limit_error";
     item["code"] = refusal.code;
-    item["ran"] = refusal.mayHaveRun ? ranUnknown : notRun;
+    item["ran"] = refusal.mayHaveRun ? requestRanUnknown : requestNotRun;
     if (!elsewhere.empty())
         item["entry"] = elsewhere;
     return body;
 }
 
-/// Writes to the connection of a caller.
-class http_sink : public answer_sink
+/// Writes responses to a caller's HTTP connection.
+class http_response_writer : public response_writer
 {
 public:
-    http_sink(Poco::Net::HTTPServerRequest &request, Poco::Net::HTTPServerResponse &response,
-              const traffic_snapshot &snapshot)
+    http_response_writer(Poco::Net::HTTPServerRequest &request,
+                         Poco::Net::HTTPServerResponse &response, const traffic_snapshot &snapshot)
         : m_request(request), m_response(response), m_snapshot(snapshot)
     { }
 
-    void whole(int status, const std::string &contentType, const std::string &body) override
+    void sendResponse(int status, const std::string &contentType, const std::string &body) override
     {
         m_response.setStatus(static_cast<Poco::Net::HTTPResponse::HTTPStatus>(status));
         m_response.setReason(Poco::Net::HTTPResponse::getReasonForStatus(m_response.getStatus()));
@@ -109,7 +109,7 @@
         m_stream = &m_response.send();
     }
 
-    bool event(std::string_view id, std::string_view data) override
+    bool sendEvent(std::string_view id, std::string_view data) override
     {
         if (!id.empty())
             *m_stream << "id: " << id << "\n";
@@ -120,28 +120,28 @@
     void refuse(const traffic_refuse &refusal) override
     {
         const std::string body =
-            writeJson(errorBody(refusal, addressOf(m_snapshot, refusal.elsewhere)));
+            writeJson(errorBody(refusal, callersAddressOf(m_snapshot, refusal.elsewhere)));
         if (m_stream) {
-            // The end marker stays out, so the caller can tell that the stream is not complete.
-            event("", body);
+            // No end marker is sent, so the caller can detect the incomplete stream.
+            sendEvent("", body);
             return;
         }
-        m_response.set(ranHeader, refusal.mayHaveRun ? ranUnknown : notRun);
+        m_response.set(requestRanHeader, refusal.mayHaveRun ? requestRanUnknown : requestNotRun);
         if (refusal.retryAfter > duration::zero() || refusal.status == 429
             || refusal.status == 503) {
             const double seconds = std::max(1.0, std::ceil(toSeconds(refusal.retryAfter)));
             m_response.set("Retry-After", std::to_string(static_cast<int>(seconds)));
         }
-        whole(refusal.status, "application/json", body);
+        sendResponse(refusal.status, "application/json", body);
     }
 
-    bool isGone() override
+    bool isDisconnected() override
     {
         Poco::Net::StreamSocket &socket =
             static_cast<Poco::Net::HTTPServerRequestImpl &>(m_request).socket();
         if (!socket.poll(Poco::Timespan(0), Poco::Net::Socket::SELECT_READ))
             return false;
-        // Readable without data means that the caller closed the connection.
+        // A readable socket with no data available means that the caller closed the connection.
         return socket.available() == 0;
     }
 
@@ -152,30 +152,30 @@
     std::ostream *m_stream = nullptr;
 };
 
-/// Serves one request of a caller.
+/// Serves one caller request: authentication, validation and forwarding.
 class callers_handler : public Poco::Net::HTTPRequestHandler
 {
 public:
-    callers_handler(const proxy_parts &parts, const settings &options)
-        : m_parts(parts), m_options(options)
+    callers_handler(const proxy_context &context, const settings &instanceSettings)
+        : m_context(context), m_settings(instanceSettings)
     { }
 
     void handleRequest(Poco::Net::HTTPServerRequest &request,
                        Poco::Net::HTTPServerResponse &response) override
     {
-        m_snapshot = m_parts.control.snapshot();
-        http_sink sink(request, response, *m_snapshot);
+        m_snapshot = m_context.control.snapshot();
+        http_response_writer writer(request, response, *m_snapshot);
         try {
-            serve(request, sink);
-        } catch (const std::exception &problem) {
-            // A caller whose connection broke; there is nobody left to tell.
-            logDebug("callers", std::string("a connection ended: ") + problem.what());
+            serve(request, writer);
+        } catch (const std::exception &exception) {
+            // The caller's connection failed, so no error response can be sent.
+            logDebug("callers", std::string("connection to a caller failed: ") + exception.what());
             response.setKeepAlive(false);
         }
     }
 
 private:
-    void serve(Poco::Net::HTTPServerRequest &request, http_sink &sink)
+    void serve(Poco::Net::HTTPServerRequest &request, http_response_writer &writer)
     {
         const Poco::URI uri(request.getURI());
         const std::string &path = uri.getPath();
@@ -184,79 +184,83 @@
         m_trace = parent ? childOf(*parent) : newTrace();
         const std::uint64_t startedAt = wallMilliseconds();
         if (path == "/v1/entry")
-            serveEntry(request, uri, sink);
+            serveEntry(request, uri, writer);
         else if (path == "/v1/models")
-            serveModels(request, sink);
+            serveModels(request, writer);
         else if (path == "/v1/chat/completions" || path == "/v1/completions")
-            serveModel(request, path, sink);
+            serveModel(request, path, writer);
         else
-            servePath(request, path, sink);
-        if (m_parts.spans.isEnabled())
-            m_parts.spans.add({.context = m_trace,
-                               .parentSpanId = parent ? parent->spanId : 0,
-                               .name = "caller " + path,
-                               .startMilliseconds = startedAt,
-                               .endMilliseconds = wallMilliseconds(),
-                               .attributes = {{"team", m_team}}});
+            servePath(request, path, writer);
+        if (m_context.spans.isEnabled())
+            m_context.spans.add({.context = m_trace,
+                                 .parentSpanId = parent ? parent->spanId : 0,
+                                 .name = "caller " + path,
+                                 .startMilliseconds = startedAt,
+                                 .endMilliseconds = wallMilliseconds(),
+                                 .attributes = {{"team", m_team}}});
     }
 
-    /// Finds the team of the caller's key. Returns false, having refused, where there is none.
-    bool authenticate(const Poco::Net::HTTPServerRequest &request, http_sink &sink)
+    /// Sets m_team to the team of the caller's key. Refuses the request and returns false if the
+    /// key is missing or invalid, or its validity can't be verified at the moment.
+    bool authenticate(const Poco::Net::HTTPServerRequest &request, http_response_writer &writer)
     {
         const std::string header = request.get("Authorization", "");
-        if (!header.starts_with(bearer)) {
-            sink.refuse({.status = 401, .code = "no-key", .message = "a key is needed"});
+        if (!header.starts_with(bearerScheme)) {
+            writer.refuse({.status = 401, .code = "no-key", .message = "a key is needed"});
             return false;
         }
-        m_keyDigest = keyDigest(std::string_view(header).substr(std::strlen(bearer)));
+        m_keyDigest = keyDigest(std::string_view(header).substr(std::strlen(bearerScheme)));
         if (!m_snapshot->attached) {
-            sink.refuse({.status = 503,
-                         .code = "cut-off",
-                         .message = "this instance can't tell whether the key is still good",
-                         .retryAfter = std::chrono::seconds(1)});
+            writer.refuse({.status = 503,
+                           .code = "cut-off",
+                           .message = "this instance can't tell whether the key is still good",
+                           .retryAfter = std::chrono::seconds(1)});
             return false;
         }
         const auto found = m_snapshot->configuration->keys.find(m_keyDigest);
         if (found == m_snapshot->configuration->keys.end()) {
-            sink.refuse({.status = 401, .code = "bad-key", .message = "the key is not known"});
+            writer.refuse({.status = 401, .code = "bad-key", .message = "the key is not known"});
             return false;
         }
         m_team = found->second.team;
         return true;
     }
 
-    /// Checks that the caller may use @p target. Returns false, having refused, where it may not.
+    /// Returns whether the caller may use @p target; refuses the request if not.
     bool authorize(const Poco::Net::HTTPServerRequest &request, const route &target,
-                   http_sink &sink)
+                   http_response_writer &writer)
     {
         if (target.open)
             return true;
-        if (!authenticate(request, sink))
+        if (!authenticate(request, writer))
             return false;
-        const bool allowed =
+        const bool isAllowed =
             std::find(target.teams.begin(), target.teams.end(), m_team) != target.teams.end();
-        if (!allowed)
-            sink.refuse(
+        if (!isAllowed)
+            writer.refuse(
                 {.status = 403,
                  .code = "not-allowed",
                  .message = "team \"" + m_team + "\" may not use route \"" + target.name + "\""});
-        return allowed;
+        return isAllowed;
     }
 
-    bool checkReady(http_sink &sink)
+    /// Returns whether the instance has a configuration; refuses the request if not.
+    bool checkReady(http_response_writer &writer)
     {
         if (m_snapshot->ready)
             return true;
-        sink.refuse({.status = 503,
-                     .code = "not-ready",
-                     .message = "this instance has no configuration yet",
-                     .retryAfter = std::chrono::seconds(1)});
+        writer.refuse({.status = 503,
+                       .code = "not-ready",
+                       .message = "this instance has no configuration yet",
+                       .retryAfter = std::chrono::seconds(1)});
         return false;
     }
 
-    void serveEntry(Poco::Net::HTTPServerRequest &request, const Poco::URI &uri, http_sink &sink)
+    /// Responds with the instances that the caller should use, in order of preference.
+    void serveEntry(Poco::Net::HTTPServerRequest &request, const Poco::URI &uri,
+                    http_response_writer &writer)
     {
-        if (!checkReady(sink))
+        if (!checkReady(writer))
             return;
         const route_table &routes = m_snapshot->configuration->routes;
         const route *target = nullptr;
@@ -267,223 +271,233 @@
                 target = routes.byPath(parameter.second);
         }
         const bool isOpen = target && target->open;
-        if (!isOpen && !authenticate(request, sink))
+        if (!isOpen && !authenticate(request, writer))
             return;
-        double rates = 0;
+        double totalRate = 0;
         for (const team &each : routes.teams)
-            rates += static_cast<double>(each.rate);
-        const team *own = routes.teamNamed(m_team);
-        const double rate = own ? static_cast<double>(own->rate) : 0;
+            totalRate += static_cast<double>(each.rate);
+        const team *ownTeam = routes.teamNamed(m_team);
+        const double rate = ownTeam ? static_cast<double>(ownTeam->rate) : 0;
         const auto owner = m_snapshot->shardOwners.find(shardKey(m_team, m_snapshot->limitShards));
         const std::vector<member> order = entryOrder(
             m_snapshot->members,
             {.team = m_team.empty() && target ? std::string_view(target->name) : m_team,
              .caller = m_keyDigest,
              .owner = owner == m_snapshot->shardOwners.end() ? std::string_view() : owner->second,
-             .zone = m_options.zone,
-             .width = entryWidth(rate, rates, m_snapshot->members.size())});
-        Json::Value answer(Json::objectValue);
-        answer["validity_seconds"] = Json::Int64(toMilliseconds(entryValidity) / 1000);
-        answer["entries"] = Json::Value(Json::arrayValue);
+             .zone = m_settings.zone,
+             .width = entryWidth(rate, totalRate, m_snapshot->members.size())});
+        Json::Value response(Json::objectValue);
+        response["validity_seconds"] = Json::Int64(toMilliseconds(entryValidity) / 1000);
+        response["entries"] = Json::Value(Json::arrayValue);
         for (const member &each : order) {
             Json::Value entry(Json::objectValue);
             entry["address"] = each.info.callers;
             entry["zone"] = each.info.zone;
-            answer["entries"].append(std::move(entry));
+            response["entries"].append(std::move(entry));
         }
-        sink.whole(200, "application/json", writeJson(answer));
+        writer.sendResponse(200, "application/json", writeJson(response));
     }
 
-    void serveModels(Poco::Net::HTTPServerRequest &request, http_sink &sink)
+    void serveModels(Poco::Net::HTTPServerRequest &request, http_response_writer &writer)
     {
-        if (!checkReady(sink) || !authenticate(request, sink))
+        if (!checkReady(writer) || !authenticate(request, writer))
             return;
-        Json::Value answer(Json::objectValue);
-        answer["object"] = "list";
-        answer["data"] = Json::Value(Json::arrayValue);
+        Json::Value response(Json::objectValue);
+        response["object"] = "list";
+        response["data"] = Json::Value(Json::arrayValue);
         for (const route &each : m_snapshot->configuration->routes.routes) {
-            const bool allowed = each.open
+            const bool isAllowed = each.open
                 || std::find(each.teams.begin(), each.teams.end(), m_team) != each.teams.end();
-            if (each.model.empty() || !allowed)
+            if (each.model.empty() || !isAllowed)
                 continue;
             Json::Value entry(Json::objectValue);
             entry["id"] = each.model;
             entry["object"] = "model";
             entry["owned_by"] = "trefoilrouter";
-            answer["data"].append(std::move(entry));
+            response["data"].append(std::move(entry));
         }
-        sink.whole(200, "application/json", writeJson(answer));
+        writer.sendResponse(200, "application/json", writeJson(response));
     }
 
-    /// Reads the request's body into m_body. Returns false, having refused, where it is too long.
-    bool readCallerBody(Poco::Net::HTTPServerRequest &request, http_sink &sink)
+    /// Reads the request body into m_body. Refuses the request and returns false if the body is too
+    /// long, incomplete or too slow.
+    bool readCallerBody(Poco::Net::HTTPServerRequest &request, http_response_writer &writer)
     {
-        const std::size_t most = static_cast<std::size_t>(m_options.maxBodyBytes);
-        const bool tooLong =
-            request.hasContentLength() && request.getContentLength64() > m_options.maxBodyBytes;
-        bool whole = !tooLong;
-        if (whole && request.hasContentLength()) {
+        const std::size_t maxBytes = static_cast<std::size_t>(m_settings.maxBodyBytes);
+        const bool isTooLong =
+            request.hasContentLength() && request.getContentLength64() > m_settings.maxBodyBytes;
+        bool isComplete = !isTooLong;
+        if (isComplete && request.hasContentLength()) {
             const std::size_t length = static_cast<std::size_t>(request.getContentLength64());
             m_body.reserve(length + requestPadding);
             m_body.resize(length);
-            if (!fillBody(request.stream(), sink))
+            if (!readBodyOfLength(request.stream(), writer))
                 return false;
-        } else if (whole) {
-            whole = readBody(request.stream(), most, m_body);
+        } else if (isComplete) {
+            isComplete = readBody(request.stream(), maxBytes, m_body);
             m_body.reserve(m_body.size() + requestPadding);
         }
-        if (!whole)
-            sink.refuse({.status = 413,
-                         .code = "body-too-long",
-                         .message = "the body is longer than "
-                             + std::to_string(m_options.maxBodyBytes) + " bytes"});
-        return whole;
+        if (!isComplete)
+            writer.refuse({.status = 413,
+                           .code = "body-too-long",
+                           .message = "the body is longer than "
+                               + std::to_string(m_settings.maxBodyBytes) + " bytes"});
+        return isComplete;
     }
 
-    /// Fills m_body from @p input. Returns false, having refused, where the caller sends too little
-    /// or too slowly: a byte now and then would hold this thread for hours.
-    bool fillBody(std::istream &input, http_sink &sink)
+    /// Fills m_body from @p input. Refuses the request and returns false if the body ends early or
+    /// does not arrive before the deadline: a caller that trickles bytes would otherwise occupy
+    /// this thread indefinitely.
+    bool readBodyOfLength(std::istream &input, http_response_writer &writer)
     {
-        const timestamp deadline = boot_clock::now() + m_options.callerTimeout;
+        const timestamp deadline = boot_clock::now() + m_settings.callerTimeout;
         std::size_t filled = 0;
         while (filled < m_body.size()) {
-            const std::size_t count = readSome(input, std::span(m_body).subspan(filled));
+            const std::size_t count = readAvailable(input, std::span(m_body).subspan(filled));
             filled += count;
             if (count > 0 && boot_clock::now() < deadline)
                 continue;
             if (filled == m_body.size())
                 break;
-            sink.refuse({.status = count == 0 ? 400 : 408,
-                         .code = count == 0 ? "body-cut" : "too-slow",
-                         .message = count == 0 ? "the body ended before its length"
-                                               : "the body did not come in time"});
+            writer.refuse({.status = count == 0 ? 400 : 408,
+                           .code = count == 0 ? "body-cut" : "too-slow",
+                           .message = count == 0 ? "the body ended before its length"
+                                                 : "the body did not come in time"});
             return false;
         }
         return true;
     }
 
+    /// Returns the caller's headers that are forwarded to the backend server.
     std::vector<std::pair<std::string, std::string>>
-    passedHeaders(const Poco::Net::HTTPServerRequest &request) const
+    forwardedHeaders(const Poco::Net::HTTPServerRequest &request) const
     {
         std::vector<std::pair<std::string, std::string>> headers;
         for (auto it = request.begin(); it != request.end(); ++it) {
-            if (!droppedHeaders().contains(lowered(it->first)))
+            if (!unforwardedHeaders().contains(toLower(it->first)))
                 headers.emplace_back(it->first, it->second);
         }
         return headers;
     }
 
-    void serveModel(Poco::Net::HTTPServerRequest &request, const std::string &path, http_sink &sink)
+    void serveModel(Poco::Net::HTTPServerRequest &request, const std::string &path,
+                    http_response_writer &writer)
     {
-        if (!checkReady(sink) || !readCallerBody(request, sink))
+        if (!checkReady(writer) || !readCallerBody(request, writer))
             return;
         const result<chat_request> chat = readChatRequest(m_body);
         if (!chat) {
-            sink.refuse(
+            writer.refuse(
                 {.status = 400, .code = chat.error().code, .message = chat.error().message});
             return;
         }
         const configuration_view &configuration = *m_snapshot->configuration;
         const route *target = configuration.routes.byModel(chat->model);
         if (!target) {
-            sink.refuse({.status = 404,
-                         .code = "no-model",
-                         .message = "model \"" + chat->model + "\" does not exist"});
+            writer.refuse({.status = 404,
+                           .code = "no-model",
+                           .message = "model \"" + chat->model + "\" does not exist"});
             return;
         }
-        if (!authorize(request, *target, sink) || !checkTokens(*chat, *target, sink))
+        if (!authorize(request, *target, writer) || !checkTokens(*chat, *target, writer))
             return;
-        proxy_request next = startRequest(request, *target);
-        next.path = path;
-        next.isModel = true;
-        next.stream = chat->stream;
-        next.begin.chain = chainOf(*chat, m_team);
-        next.begin.body = digestOf(m_body);
-        next.promptTokens = next.begin.chain.tokens;
-        const std::int64_t answerTokens =
+        proxy_request forwarded = makeProxyRequest(request, *target);
+        forwarded.path = path;
+        forwarded.isModel = true;
+        forwarded.stream = chat->stream;
+        forwarded.incoming.chain = buildPrefixChain(*chat, m_team);
+        forwarded.incoming.body = digestOf(m_body);
+        forwarded.promptTokens = forwarded.incoming.chain.tokens;
+        const std::int64_t maxAnswerTokens =
             chat->maxTokens > 0 ? chat->maxTokens : target->maxAnswerTokens;
         if (!target->open)
-            next.begin.tokens = next.promptTokens + static_cast<double>(answerTokens);
-        body_pieces pieces;
-        if (next.target)
-            makeBackendBody(m_body, *chat, next.target->model, answerTokens, pieces);
-        next.body = pieces.pieces;
-        run(std::move(next), sink);
+            forwarded.incoming.tokens =
+                forwarded.promptTokens + static_cast<double>(maxAnswerTokens);
+        body_segments backendBody;
+        if (forwarded.targetPool)
+            makeBackendBody(m_body, *chat, forwarded.targetPool->model, maxAnswerTokens,
+                            backendBody);
+        forwarded.body = backendBody.segments;
+        run(std::move(forwarded), writer);
     }
 
-    bool checkTokens(const chat_request &chat, const route &target, http_sink &sink)
+    /// Returns whether max_tokens is within the limit of @p target; refuses the request if not.
+    bool checkTokens(const chat_request &chat, const route &target, http_response_writer &writer)
     {
         if (chat.maxTokens <= target.maxAnswerTokens)
             return true;
-        sink.refuse({.status = 400,
-                     .code = "too-many-tokens",
-                     .message = "max_tokens " + std::to_string(chat.maxTokens) + " is above the "
-                         + std::to_string(target.maxAnswerTokens) + " of route \"" + target.name
-                         + "\""});
+        writer.refuse({.status = 400,
+                       .code = "too-many-tokens",
+                       .message = "max_tokens " + std::to_string(chat.maxTokens) + " is above the "
+                           + std::to_string(target.maxAnswerTokens) + " of route \"" + target.name
+                           + "\""});
         return false;
     }
 
-    void servePath(Poco::Net::HTTPServerRequest &request, const std::string &path, http_sink &sink)
+    void servePath(Poco::Net::HTTPServerRequest &request, const std::string &path,
+                   http_response_writer &writer)
     {
-        if (!checkReady(sink))
+        if (!checkReady(writer))
             return;
         const route *target = m_snapshot->configuration->routes.byPath(path);
         if (!target) {
-            sink.refuse({.status = 404,
-                         .code = "no-route",
-                         .message = "no route serves path \"" + path + "\""});
+            writer.refuse({.status = 404,
+                           .code = "no-route",
+                           .message = "no route serves path \"" + path + "\""});
             return;
         }
-        if (!authorize(request, *target, sink) || !readCallerBody(request, sink))
+        if (!authorize(request, *target, writer) || !readCallerBody(request, writer))
             return;
-        proxy_request next = startRequest(request, *target);
-        next.method = request.getMethod();
-        next.path = request.getURI();
-        next.contentType = request.getContentType();
-        const std::array<std::string_view, 1> whole {m_body};
-        next.body.assign(whole.begin(), whole.end());
-        next.begin.body = digestOf(m_body, digestOf(next.method + " " + next.path));
-        // Reading changes nothing, whatever the route says of its other calls.
-        if (next.method == "GET" || next.method == "HEAD")
-            next.begin.idempotent = true;
-        if (!next.begin.idempotent)
-            next.begin.idempotencyKey = request.get(idempotencyHeader, "");
-        run(std::move(next), sink);
+        proxy_request forwarded = makeProxyRequest(request, *target);
+        forwarded.method = request.getMethod();
+        forwarded.path = request.getURI();
+        forwarded.contentType = request.getContentType();
+        const std::array<std::string_view, 1> segments {m_body};
+        forwarded.body.assign(segments.begin(), segments.end());
+        forwarded.incoming.body =
+            digestOf(m_body, digestOf(forwarded.method + " " + forwarded.path));
+        // GET and HEAD are idempotent even on a route that is not.
+        if (forwarded.method == "GET" || forwarded.method == "HEAD")
+            forwarded.incoming.idempotent = true;
+        if (!forwarded.incoming.idempotent)
+            forwarded.incoming.idempotencyKey = request.get(idempotencyHeader, "");
+        run(std::move(forwarded), writer);
     }
 
-    proxy_request startRequest(const Poco::Net::HTTPServerRequest &request, const route &target)
+    proxy_request makeProxyRequest(const Poco::Net::HTTPServerRequest &request, const route &target)
     {
-        proxy_request next;
-        next.begin.id = m_parts.control.newRequestId();
-        next.begin.team = target.open ? std::string() : m_team;
-        next.begin.route = target.name;
-        next.begin.pool = target.pool;
-        next.begin.idempotent = target.idempotent;
-        next.target = m_snapshot->configuration->pools.poolNamed(target.pool);
-        next.headers = passedHeaders(request);
-        next.trace = m_trace;
-        return next;
+        proxy_request forwarded;
+        forwarded.incoming.id = m_context.control.newRequestId();
+        forwarded.incoming.team = target.open ? std::string() : m_team;
+        forwarded.incoming.route = target.name;
+        forwarded.incoming.pool = target.pool;
+        forwarded.incoming.idempotent = target.idempotent;
+        forwarded.targetPool = m_snapshot->configuration->pools.poolNamed(target.pool);
+        forwarded.headers = forwardedHeaders(request);
+        forwarded.trace = m_trace;
+        return forwarded;
     }
 
-    void run(proxy_request next, http_sink &sink)
+    void run(proxy_request forwarded, http_response_writer &writer)
     {
-        if (!next.target) {
-            sink.refuse({.status = 503,
-                         .code = "no-pool",
-                         .message = "pool \"" + next.begin.pool + "\" does not exist",
-                         .retryAfter = std::chrono::seconds(1)});
+        if (!forwarded.targetPool) {
+            writer.refuse({.status = 503,
+                           .code = "no-pool",
+                           .message = "pool \"" + forwarded.incoming.pool + "\" does not exist",
+                           .retryAfter = std::chrono::seconds(1)});
             return;
         }
-        m_parts.metrics.counterOf("trefoil_requests_total", "route=\"" + next.begin.route + "\"")
+        m_context.metrics
+            .counterOf("trefoil_requests_total", "route=\"" + forwarded.incoming.route + "\"")
             .add();
-        gauge &open = m_parts.metrics.gaugeOf("trefoil_requests_open");
+        gauge &open = m_context.metrics.gaugeOf("trefoil_requests_open");
         open.add(1);
-        proxy(m_parts, std::move(next), sink).run();
+        proxy(m_context, std::move(forwarded), writer).run();
         open.add(-1);
     }
 
-    const proxy_parts &m_parts;
-    const settings &m_options;
+    const proxy_context &m_context;
+    const settings &m_settings;
     std::shared_ptr<const traffic_snapshot> m_snapshot;
     std::string m_body;
     std::string m_team;
@@ -494,27 +508,27 @@
 class callers_factory : public Poco::Net::HTTPRequestHandlerFactory
 {
 public:
-    callers_factory(const proxy_parts &parts, const settings &options)
-        : m_parts(parts), m_options(options)
+    callers_factory(const proxy_context &context, const settings &instanceSettings)
+        : m_context(context), m_settings(instanceSettings)
     { }
 
     Poco::Net::HTTPRequestHandler *
     createRequestHandler(const Poco::Net::HTTPServerRequest &) override
     {
-        return new callers_handler(m_parts, m_options); // the server deletes it
+        return new callers_handler(m_context, m_settings); // owned by the HTTP server
     }
 
 private:
-    proxy_parts m_parts;
-    const settings &m_options;
+    proxy_context m_context;
+    const settings &m_settings;
 };
 
 } // namespace
 
-Poco::SharedPtr<Poco::Net::HTTPRequestHandlerFactory> callersFactory(const proxy_parts &parts,
-                                                                     const settings &options)
+Poco::SharedPtr<Poco::Net::HTTPRequestHandlerFactory>
+makeCallersHandlerFactory(const proxy_context &context, const settings &instanceSettings)
 {
-    return new callers_factory(parts, options);
+    return new callers_factory(context, instanceSettings);
 }
 
 } // namespace trefoil
--- a/trefoilrouter/src/callers_handler.h
+++ b/trefoilrouter/src/callers_handler.h
@@ -7,18 +7,19 @@
 
 namespace trefoil {
 
-/// Returns the handler factory of the callers' listener: /v1/entry, /v1/models,
-/// /v1/chat/completions, /v1/completions and the routes by path. Precondition: what @p parts refers
-/// to and @p options outlive it.
-Poco::SharedPtr<Poco::Net::HTTPRequestHandlerFactory> callersFactory(const proxy_parts &parts,
-                                                                     const settings &options);
+/// Creates the handler factory of the callers' listener: /v1/entry, /v1/models,
+/// /v1/chat/completions, /v1/completions and the path routes. Precondition: the objects that
+/// @p context refers to and @p instanceSettings outlive the factory.
+Poco::SharedPtr<Poco::Net::HTTPRequestHandlerFactory>
+makeCallersHandlerFactory(const proxy_context &context, const settings &instanceSettings);
 
-/// How long a caller may keep the answer of /v1/entry.
+/// How long a caller may cache a response of /v1/entry.
 constexpr duration entryValidity = std::chrono::seconds(5);
 
-/// Names of the headers that tell whether a refused request ran.
-inline constexpr const char *ranHeader = "X-Request-Ran";
-inline constexpr const char *notRun = "not-run";
-inline constexpr const char *ranUnknown = "unknown";
+/// Header of a refusal that tells whether the request may have run on a backend server, and its
+/// values.
+inline constexpr const char *requestRanHeader = "X-Request-Ran";
+inline constexpr const char *requestNotRun = "not-run";
+inline constexpr const char *requestRanUnknown = "unknown";
 
 } // namespace trefoil
--- a/trefoilrouter/src/chat_request.cpp
+++ b/trefoilrouter/src/chat_request.cpp
@@ -12,14 +12,14 @@
 
 static_assert(requestPadding >= simdjson::SIMDJSON_PADDING);
 
-/// Returns @p token without the white space that may follow it.
+/// Returns @p token without trailing white space.
 std::string_view trimmed(std::string_view token)
 {
     const std::size_t end = token.find_last_not_of(" \t\r\n");
     return token.substr(0, end == std::string_view::npos ? 0 : end + 1);
 }
 
-/// Adds the text of a message's content: a string, or a list of parts with text.
+/// Adds the text of a message's content, which is a string or a list of content parts.
 void addContent(ondemand::value content, chat_request &request)
 {
     const ondemand::json_type type = content.type();
@@ -55,10 +55,10 @@
     }
 }
 
-void takeField(std::string_view key, ondemand::value value, chat_request &request)
+void readField(std::string_view key, ondemand::value value, chat_request &request)
 {
     if (key == "model") {
-        request.modelToken = trimmed(value.raw_json_token());
+        request.modelLiteral = trimmed(value.raw_json_token());
         request.model = std::string(std::string_view(value.get_string()));
     } else if (key == "stream") {
         request.stream = bool(value.get_bool());
@@ -83,13 +83,13 @@
             parser.iterate(body.data(), body.size(), body.size() + requestPadding);
         for (ondemand::field field : document.get_object()) {
             const std::string_view key = field.unescaped_key();
-            takeField(key, field.value(), request);
+            readField(key, field.value(), request);
         }
-        // Past the end of the document there is no location.
+        // simdjson reports OUT_OF_BOUNDS here if nothing follows the object.
         if (document.current_location().error() != simdjson::OUT_OF_BOUNDS)
             return failure("bad-json", "the body has something behind its JSON object");
-    } catch (const simdjson::simdjson_error &problem) {
-        return failure("bad-json", std::string("the body can't be read: ") + problem.what());
+    } catch (const simdjson::simdjson_error &exception) {
+        return failure("bad-json", std::string("the body can't be read: ") + exception.what());
     }
     if (request.model.empty())
         return failure("bad-request", "field \"model\" is missing");
@@ -100,41 +100,41 @@
     return request;
 }
 
-std::size_t body_pieces::size() const
+std::size_t body_segments::size() const
 {
-    std::size_t sum = 0;
-    for (const std::string_view piece : pieces)
-        sum += piece.size();
-    return sum;
+    std::size_t total = 0;
+    for (const std::string_view segment : segments)
+        total += segment.size();
+    return total;
 }
 
 void makeBackendBody(const std::string &body, const chat_request &request, std::string_view model,
-                     std::int64_t maxTokens, body_pieces &pieces)
+                     std::int64_t maxTokens, body_segments &backendBody)
 {
-    pieces.pieces.clear();
+    backendBody.segments.clear();
     std::string_view rest(body);
     if (request.maxTokens == 0) {
         const std::size_t brace = rest.find('{');
-        pieces.limit = "\"max_tokens\":" + std::to_string(maxTokens) + ",";
-        pieces.pieces.push_back(rest.substr(0, brace + 1));
-        pieces.pieces.push_back(pieces.limit);
+        backendBody.maxTokensField = "\"max_tokens\":" + std::to_string(maxTokens) + ",";
+        backendBody.segments.push_back(rest.substr(0, brace + 1));
+        backendBody.segments.push_back(backendBody.maxTokensField);
         rest.remove_prefix(brace + 1);
     }
     if (!model.empty() && model != request.model) {
-        pieces.model = writeJson(Json::Value(std::string(model)));
-        const std::size_t at = static_cast<std::size_t>(request.modelToken.data() - rest.data());
-        pieces.pieces.push_back(rest.substr(0, at));
-        pieces.pieces.push_back(pieces.model);
-        rest.remove_prefix(at + request.modelToken.size());
+        backendBody.encodedModel = writeJson(Json::Value(std::string(model)));
+        const std::size_t at = static_cast<std::size_t>(request.modelLiteral.data() - rest.data());
+        backendBody.segments.push_back(rest.substr(0, at));
+        backendBody.segments.push_back(backendBody.encodedModel);
+        rest.remove_prefix(at + request.modelLiteral.size());
     }
-    pieces.pieces.push_back(rest);
+    backendBody.segments.push_back(rest);
 }
 
-prefix_chain chainOf(const chat_request &request, std::string_view team)
+prefix_chain buildPrefixChain(const chat_request &request, std::string_view team)
 {
     prefix_chain_builder builder(team, request.model);
-    for (const std::string_view piece : request.prompt)
-        builder.add(piece);
+    for (const std::string_view segment : request.prompt)
+        builder.add(segment);
     return builder.finish();
 }
 
--- a/trefoilrouter/src/chat_request.h
+++ b/trefoilrouter/src/chat_request.h
@@ -10,44 +10,46 @@
 
 namespace trefoil {
 
-/// What the router needs of a caller's request for a model.
+/// The fields of a chat or completions request that the router uses.
 struct chat_request
 {
     std::string model;
     bool stream = false;
-    /// Most tokens that the caller wants; 0 where it does not say.
+    /// Maximum number of completion tokens; 0 if the caller set none.
     std::int64_t maxTokens = 0;
-    /// Pieces of the prompt in their order, as they stand in the body: views into it.
+    /// The prompt's JSON string literals in order, quotes included: views into the body.
     std::vector<std::string_view> prompt;
-    /// Place of the model's name in the body, quotes included: a view into it.
-    std::string_view modelToken;
+    /// The JSON string literal of the model name, quotes included: a view into the body.
+    std::string_view modelLiteral;
 };
 
-/// Reads the body of a chat or completions request, in one pass and without copying the prompt.
-/// Precondition: @p body has room for @c requestPadding bytes past its size. Errors: "bad-json",
-/// "bad-request". Thread-safe.
+/// Parses the body of a chat or completions request in one pass and without copying the prompt.
+/// Precondition: the capacity of @p body exceeds its size by at least @c requestPadding bytes.
+/// Errors: "bad-json", "bad-request". Thread-safe.
 result<chat_request> readChatRequest(const std::string &body);
 
-/// Bytes that the parser may read beyond the body.
+/// Bytes that the parser may read past the end of the body.
 constexpr std::size_t requestPadding = 64;
 
-/// A body to be sent, in pieces that need not be joined.
-struct body_pieces
+/// A request body as a list of segments, for sending without concatenation.
+struct body_segments
 {
-    std::vector<std::string_view> pieces;
-    /// Text that pieces may point into.
-    std::string model;
-    std::string limit;
+    std::vector<std::string_view> segments;
+    /// Inserted text that segments may point into.
+    std::string encodedModel;
+    std::string maxTokensField;
 
+    /// Returns the total size in bytes.
     std::size_t size() const;
 };
 
-/// Returns the body with the model's name replaced by @p model, unless it is empty, and with
-/// @p maxTokens set where the caller gave none. Views point into @p body and @p pieces.
+/// Writes the body for the backend server to @p backendBody: the model name is replaced by @p model
+/// unless that is empty, and max_tokens is set to @p maxTokens if the caller set none. The segments
+/// are views into @p body and @p backendBody.
 void makeBackendBody(const std::string &body, const chat_request &request, std::string_view model,
-                     std::int64_t maxTokens, body_pieces &pieces);
+                     std::int64_t maxTokens, body_segments &backendBody);
 
-/// Returns the chain of the request's prompt. Thread-safe.
-prefix_chain chainOf(const chat_request &request, std::string_view team);
+/// Builds the block hash chain of the request's prompt. Thread-safe.
+prefix_chain buildPrefixChain(const chat_request &request, std::string_view team);
 
 } // namespace trefoil
--- a/trefoilrouter/src/control_thread.cpp
+++ b/trefoilrouter/src/control_thread.cpp
@@ -9,20 +9,20 @@
 
 namespace {
 
-/// How often time passes for control when no message comes. Messages are handled at once; this only
-/// starts probes and the like.
+/// Period of the control node's tick, which drives probes and timeouts. Messages are handled as
+/// they arrive.
 constexpr duration tickPeriod = std::chrono::milliseconds(20);
 
-/// Longest wait of a traffic thread for a decision: admission waits half a second at most, a claim
-/// a few calls to the platform.
+/// How long a request thread waits for a decision. Admission takes at most half a second, an
+/// idempotency claim a few platform calls.
 constexpr std::chrono::seconds decisionTimeout(8);
 
-/// Longest wait for an answer to a peer, who has given up by then.
+/// How long a peer's request may take; the peer itself times out earlier.
 constexpr std::chrono::seconds peerReplyTimeout(1);
 
 constexpr std::chrono::seconds statusTimeout(2);
 
-std::string_view describe(const member &item)
+std::string_view stateName(const member &item)
 {
     constexpr std::array<std::string_view, 3> names {"alive", "suspect", "dead"};
     return item.info.leaving ? "leaving" : names[static_cast<std::size_t>(item.state)];
@@ -32,43 +32,45 @@
 {
     std::map<std::string_view, std::string_view> states;
     for (const member &each : before)
-        states[each.info.name] = describe(each);
+        states[each.info.name] = stateName(each);
     for (const member &each : after) {
         const auto found = states.find(each.info.name);
-        const bool isSame = found != states.end() && found->second == describe(each);
+        const bool isSame = found != states.end() && found->second == stateName(each);
         if (found != states.end())
             states.erase(found);
         if (!isSame)
             logInfo("members",
-                    "Instance \"" + each.info.name + "\" is " + std::string(describe(each)) + ".");
+                    "Instance \"" + each.info.name + "\" is " + std::string(stateName(each)) + ".");
     }
     for (auto it = states.begin(); it != states.end(); ++it)
         logInfo("members", "Instance \"" + std::string(it->first) + "\" is dead.");
 }
 
-/// Writes what differs between two snapshots.
+/// Logs the differences between two snapshots.
 void logChanges(const traffic_snapshot &before, const traffic_snapshot &after)
 {
     logMemberChanges(before.members, after.members);
-    const configuration_view &was = *before.configuration;
-    const configuration_view &is = *after.configuration;
-    if (was.routesVersion != is.routesVersion)
+    const configuration_view &previous = *before.configuration;
+    const configuration_view &current = *after.configuration;
+    if (previous.routesVersion != current.routesVersion)
         logInfo("configuration",
-                "Routes are in force at version " + std::to_string(is.routesVersion) + ".");
-    if (was.poolsVersion != is.poolsVersion)
+                "Routes table: now using version " + std::to_string(current.routesVersion) + ".");
+    if (previous.poolsVersion != current.poolsVersion)
         logInfo("configuration",
-                "Pools are in force at version " + std::to_string(is.poolsVersion) + ".");
-    if (was.keysVersion != is.keysVersion)
+                "Pools table: now using version " + std::to_string(current.poolsVersion) + ".");
+    if (previous.keysVersion != current.keysVersion)
         logInfo("configuration",
-                "Keys are in force at version " + std::to_string(is.keysVersion) + ".");
+                "Keys: now using version " + std::to_string(current.keysVersion) + ".");
     if (before.attached != after.attached)
         logWarning("members",
-                   after.attached ? "This instance is attached again."
-                                  : "This instance is cut off.");
+                   after.attached ? "This instance is connected to the fleet again."
+                                  : "This instance is isolated from the fleet.");
     for (auto it = after.shardOwners.begin(); it != after.shardOwners.end(); ++it) {
         const auto old = before.shardOwners.find(it->first);
         if (old == before.shardOwners.end() || old->second != it->second)
-            logDebug("limits", "\"" + it->first + "\" is owned by \"" + it->second + "\".");
+            logDebug("limits",
+                     "Limit shard \"" + it->first + "\" is owned by instance \"" + it->second
+                         + "\".");
     }
 }
 
@@ -76,9 +78,9 @@
 
 control_thread::control_thread(control_options options) : m_options(std::move(options)) { }
 
-child_body control_thread::body(control_outlet &outlet)
+child_body control_thread::body(control_action_handler &actionHandler)
 {
-    return [this, &outlet](const std::stop_token &stop) { return run(stop, outlet); };
+    return [this, &actionHandler](const std::stop_token &stop) { return run(stop, actionHandler); };
 }
 
 std::shared_ptr<const traffic_snapshot> control_thread::snapshot() const
@@ -87,12 +89,13 @@
     return m_snapshot;
 }
 
-traffic_decision control_thread::await(std::uint64_t id, std::future<traffic_decision> decision)
+traffic_decision control_thread::awaitDecision(std::uint64_t id,
+                                               std::future<traffic_decision> decision)
 {
     if (decision.wait_for(decisionTimeout) == std::future_status::ready)
         return decision.get();
     m_mailbox.post(traffic_end {.id = id});
-    // Whether a claim was made is not known, but nothing was sent after this.
+    // An idempotency claim may have been created, but no further attempt was sent.
     return {.id = id,
             .what = traffic_refuse {.status = 503,
                                     .code = "no-decision",
@@ -100,21 +103,21 @@
                                     .retryAfter = std::chrono::seconds(1)}};
 }
 
-traffic_decision control_thread::begin(traffic_begin request)
+traffic_decision control_thread::admit(traffic_begin request)
 {
     const std::uint64_t id = request.id;
     const auto reply = std::make_shared<std::promise<traffic_decision>>();
     std::future<traffic_decision> decision = reply->get_future();
-    m_mailbox.post(begin_message {.request = std::move(request), .reply = reply});
-    return await(id, std::move(decision));
+    m_mailbox.post(admit_message {.request = std::move(request), .reply = reply});
+    return awaitDecision(id, std::move(decision));
 }
 
-traffic_decision control_thread::failed(const traffic_failed &report)
+traffic_decision control_thread::reportFailedAttempt(const traffic_failed &report)
 {
     const auto reply = std::make_shared<std::promise<traffic_decision>>();
     std::future<traffic_decision> decision = reply->get_future();
-    m_mailbox.post(failed_message {.report = report, .reply = reply});
-    traffic_decision next = await(report.id, std::move(decision));
+    m_mailbox.post(failed_attempt_message {.report = report, .reply = reply});
+    traffic_decision next = awaitDecision(report.id, std::move(decision));
     traffic_refuse *refusal = std::get_if<traffic_refuse>(&next.what);
     if (refusal && refusal->code == "no-decision")
         refusal->mayHaveRun = true;
@@ -146,7 +149,7 @@
     m_mailbox.post(order_done_message {.id = id, .accepted = accepted});
 }
 
-std::optional<peer_answer> control_thread::askPeerRequest(const peer_request &request)
+std::optional<peer_answer> control_thread::handlePeerRequest(const peer_request &request)
 {
     const auto reply = std::make_shared<std::promise<peer_answer>>();
     std::future<peer_answer> answer = reply->get_future();
@@ -156,15 +159,15 @@
     return answer.get();
 }
 
-bool control_thread::askHolds(const std::string &key)
+bool control_thread::holdsLease(const std::string &key)
 {
     const auto reply = std::make_shared<std::promise<bool>>();
     std::future<bool> answer = reply->get_future();
-    m_mailbox.post(holds_message {.key = key, .reply = reply});
+    m_mailbox.post(holds_lease_message {.key = key, .reply = reply});
     return answer.wait_for(peerReplyTimeout) == std::future_status::ready && answer.get();
 }
 
-std::optional<Json::Value> control_thread::askStatus()
+std::optional<Json::Value> control_thread::queryStatus()
 {
     const auto reply = std::make_shared<std::promise<Json::Value>>();
     std::future<Json::Value> answer = reply->get_future();
@@ -182,22 +185,22 @@
     m_snapshot = std::move(snapshot);
 }
 
-/// Hands each kind of message to the node. The time is read when the message is handled, after any
-/// pause of the thread.
+/// Forwards each message to the control node. The clock is read when the message is handled, so
+/// that a pause of the thread counts as elapsed time.
 struct control_thread::dispatcher
 {
     control_thread &owner;
 
     control_node &node() { return *owner.m_node; }
 
-    void operator()(begin_message &message)
+    void operator()(admit_message &message)
     {
-        owner.m_decisions[message.request.id] = std::move(message.reply);
+        owner.m_pendingDecisions[message.request.id] = std::move(message.reply);
         node().begin(boot_clock::now(), std::move(message.request));
     }
-    void operator()(failed_message &message)
+    void operator()(failed_attempt_message &message)
     {
-        owner.m_decisions[message.report.id] = std::move(message.reply);
+        owner.m_pendingDecisions[message.report.id] = std::move(message.reply);
         node().onFailed(boot_clock::now(), message.report);
     }
     void operator()(const traffic_first_token &report)
@@ -206,18 +209,18 @@
     }
     void operator()(const traffic_end &report)
     {
-        owner.m_decisions.erase(report.id);
+        owner.m_pendingDecisions.erase(report.id);
         node().onEnd(boot_clock::now(), report);
     }
     void operator()(peer_request_message &message)
     {
-        const std::uint64_t token = owner.m_nextToken++;
+        const std::uint64_t token = owner.m_nextReplyToken++;
         const std::optional<peer_answer> answer =
             node().onPeerRequest(boot_clock::now(), token, message.request);
         if (answer)
             message.reply->set_value(*answer);
         else
-            owner.m_peerReplies[token] = std::move(message.reply);
+            owner.m_pendingPeerReplies[token] = std::move(message.reply);
     }
     void operator()(const peer_answer_message &message)
     {
@@ -239,7 +242,7 @@
     {
         node().onOrderDone(boot_clock::now(), message.id, message.accepted);
     }
-    void operator()(const holds_message &message)
+    void operator()(const holds_lease_message &message)
     {
         message.reply->set_value(node().holds(boot_clock::now(), message.key));
     }
@@ -250,15 +253,14 @@
     void operator()(const leave_message &) { node().leave(boot_clock::now()); }
 };
 
-result<void> control_thread::run(const std::stop_token &stop, control_outlet &outlet)
+result<void> control_thread::run(const std::stop_token &stop, control_action_handler &actionHandler)
 {
     m_node = std::make_unique<control_node>(m_options, boot_clock::now());
     dispatcher dispatch {*this};
     timestamp nextTick = boot_clock::now();
     while (!stop.stop_requested()) {
-        const duration patience =
-            std::max<duration>(duration::zero(), nextTick - boot_clock::now());
-        std::optional<message> next = m_mailbox.take(patience);
+        const duration timeout = std::max<duration>(duration::zero(), nextTick - boot_clock::now());
+        std::optional<message> next = m_mailbox.take(timeout);
         if (next)
             std::visit(dispatch, *next);
         const timestamp now = boot_clock::now();
@@ -266,39 +268,39 @@
             nextTick = now + tickPeriod;
             m_node->tick(now, wallMilliseconds());
         }
-        carryOut(outlet);
+        executeActions(actionHandler);
         m_openRequests.store(m_node->openRequests());
         m_released.store(m_node->released());
     }
     return {};
 }
 
-void control_thread::carryOut(control_outlet &outlet)
+void control_thread::executeActions(control_action_handler &actionHandler)
 {
     for (control_action &action : m_node->takeActions()) {
         if (peer_send *send = std::get_if<peer_send>(&action)) {
-            outlet.send(std::move(*send));
+            actionHandler.sendToPeer(std::move(*send));
         } else if (platform_call *call = std::get_if<platform_call>(&action)) {
-            outlet.call(std::move(*call));
+            actionHandler.callPlatform(std::move(*call));
         } else if (server_poll *poll = std::get_if<server_poll>(&action)) {
-            outlet.poll(std::move(*poll));
+            actionHandler.pollServer(std::move(*poll));
         } else if (server_order_call *order = std::get_if<server_order_call>(&action)) {
-            outlet.order(std::move(*order));
+            actionHandler.sendLoadOrder(std::move(*order));
         } else if (publish_snapshot *publish = std::get_if<publish_snapshot>(&action)) {
             this->publish(std::move(publish->snapshot));
         } else if (traffic_decision *decision = std::get_if<traffic_decision>(&action)) {
-            const auto found = m_decisions.find(decision->id);
-            if (found == m_decisions.end())
+            const auto found = m_pendingDecisions.find(decision->id);
+            if (found == m_pendingDecisions.end())
                 continue;
             found->second->set_value(std::move(*decision));
-            m_decisions.erase(found);
+            m_pendingDecisions.erase(found);
         } else {
             const peer_reply &reply = std::get<peer_reply>(action);
-            const auto found = m_peerReplies.find(reply.token);
-            if (found == m_peerReplies.end())
+            const auto found = m_pendingPeerReplies.find(reply.token);
+            if (found == m_pendingPeerReplies.end())
                 continue;
             found->second->set_value(reply.answer);
-            m_peerReplies.erase(found);
+            m_pendingPeerReplies.erase(found);
         }
     }
 }
--- a/trefoilrouter/src/control_thread.h
+++ b/trefoilrouter/src/control_thread.h
@@ -15,44 +15,44 @@
 
 namespace trefoil {
 
-/// Carries out what control decides; each method returns at once and reports by the control
-/// thread's post methods.
-class control_outlet
+/// Executes the I/O actions that the control node requests. Each method returns without blocking;
+/// the outcome is reported through the post methods of control_thread.
+class control_action_handler
 {
 public:
-    virtual ~control_outlet() = default;
-    virtual void send(peer_send action) = 0;
-    virtual void call(platform_call action) = 0;
-    virtual void poll(server_poll action) = 0;
-    virtual void order(server_order_call action) = 0;
+    virtual ~control_action_handler() = default;
+    virtual void sendToPeer(peer_send action) = 0;
+    virtual void callPlatform(platform_call action) = 0;
+    virtual void pollServer(server_poll action) = 0;
+    virtual void sendLoadOrder(server_order_call action) = 0;
 };
 
-/// The one thread that owns control state. Other threads post typed messages to it, or ask and
-/// wait. All methods but body() are thread-safe.
+/// The thread that owns the control node. Other threads post messages to its mailbox; some methods
+/// wait for the reply. All methods except body() are thread-safe.
 class control_thread
 {
 public:
     explicit control_thread(control_options options);
 
-    /// Returns the child that runs the thread. Precondition: @p outlet outlives it.
-    child_body body(control_outlet &outlet);
+    /// Returns the supervised body of the thread. Precondition: @p actionHandler outlives it.
+    child_body body(control_action_handler &actionHandler);
 
-    /// @name Traffic
+    /// @name Requests of callers
     /// @{
 
     /// Returns the newest snapshot.
     std::shared_ptr<const traffic_snapshot> snapshot() const;
-    /// Returns a number for a new request.
-    std::uint64_t newRequestId() { return m_nextRequest.fetch_add(1); }
-    /// Asks for the admission and placement of a request, and waits for the decision.
-    traffic_decision begin(traffic_begin request);
-    /// Reports a failed attempt, and waits for what to do next.
-    traffic_decision failed(const traffic_failed &report);
-    void firstToken(const traffic_first_token &report) { m_mailbox.post(report); }
-    void end(traffic_end report) { m_mailbox.post(std::move(report)); }
+    /// Returns an id for a new request, unique in this instance.
+    std::uint64_t newRequestId() { return m_nextRequestId.fetch_add(1); }
+    /// Requests admission and placement of @p request and blocks until the decision.
+    traffic_decision admit(traffic_begin request);
+    /// Reports a failed attempt and blocks until the decision to retry or refuse.
+    traffic_decision reportFailedAttempt(const traffic_failed &report);
+    void reportFirstToken(const traffic_first_token &report) { m_mailbox.post(report); }
+    void reportEnd(traffic_end report) { m_mailbox.post(std::move(report)); }
 
     /// @}
-    /// @name Reports
+    /// @name Results of I/O
     /// @{
 
     void postPeerAnswer(std::uint64_t id, peer_answer answer);
@@ -60,10 +60,11 @@
     void postPlatformAnswer(std::uint64_t id, platform_answer answer);
     void postServerState(std::string server, std::optional<server_state_report> report);
     void postOrderDone(std::uint64_t id, bool accepted);
-    /// Answers a peer's request; nothing when control took too long.
-    std::optional<peer_answer> askPeerRequest(const peer_request &request);
-    /// Returns whether the right @p key is held right now: asked directly before an order is sent.
-    bool askHolds(const std::string &key);
+    /// Handles a peer's request and blocks until the answer; returns nothing on a timeout.
+    std::optional<peer_answer> handlePeerRequest(const peer_request &request);
+    /// Returns whether this instance holds the lease @p key now; false on a timeout. To be checked
+    /// immediately before an order is sent.
+    bool holdsLease(const std::string &key);
 
     /// @}
     /// @name Operation
@@ -71,22 +72,22 @@
 
     /// Starts a graceful shutdown.
     void leave() { m_mailbox.post(leave_message {}); }
-    /// Returns the status report, or nothing when control took too long.
-    std::optional<Json::Value> askStatus();
+    /// Returns the status report, or nothing on a timeout.
+    std::optional<Json::Value> queryStatus();
     /// Returns the number of open requests.
     std::size_t openRequests() const { return m_openRequests.load(); }
-    /// Returns whether all rights were handed over.
-    bool released() const { return m_released.load(); }
+    /// Returns whether all leases were handed over after leave().
+    bool hasReleasedLeases() const { return m_released.load(); }
 
     /// @}
 
 private:
-    struct begin_message
+    struct admit_message
     {
         traffic_begin request;
         std::shared_ptr<std::promise<traffic_decision>> reply;
     };
-    struct failed_message
+    struct failed_attempt_message
     {
         traffic_failed report;
         std::shared_ptr<std::promise<traffic_decision>> reply;
@@ -121,7 +122,7 @@
         std::uint64_t id = 0;
         bool accepted = false;
     };
-    struct holds_message
+    struct holds_lease_message
     {
         std::string key;
         std::shared_ptr<std::promise<bool>> reply;
@@ -132,30 +133,31 @@
     };
     struct leave_message
     { };
-    using message = std::variant<begin_message, failed_message, traffic_first_token, traffic_end,
-                                 peer_request_message, peer_answer_message, peer_failure_message,
-                                 platform_answer_message, server_state_message, order_done_message,
-                                 holds_message, status_message, leave_message>;
+    using message =
+        std::variant<admit_message, failed_attempt_message, traffic_first_token, traffic_end,
+                     peer_request_message, peer_answer_message, peer_failure_message,
+                     platform_answer_message, server_state_message, order_done_message,
+                     holds_lease_message, status_message, leave_message>;
     struct dispatcher;
 
-    result<void> run(const std::stop_token &stop, control_outlet &outlet);
-    void carryOut(control_outlet &outlet);
+    result<void> run(const std::stop_token &stop, control_action_handler &actionHandler);
+    void executeActions(control_action_handler &actionHandler);
     void publish(std::shared_ptr<const traffic_snapshot> snapshot);
-    traffic_decision await(std::uint64_t id, std::future<traffic_decision> decision);
+    traffic_decision awaitDecision(std::uint64_t id, std::future<traffic_decision> decision);
 
     control_options m_options;
     mailbox<message> m_mailbox;
-    std::atomic<std::uint64_t> m_nextRequest = 1;
+    std::atomic<std::uint64_t> m_nextRequestId = 1;
     std::atomic<std::size_t> m_openRequests = 0;
     std::atomic<bool> m_released = false;
     mutable std::mutex m_snapshotMutex;
     std::shared_ptr<const traffic_snapshot> m_snapshot = std::make_shared<const traffic_snapshot>();
 
-    // Owned by the control thread.
+    // Accessed only by the control thread.
     std::unique_ptr<control_node> m_node;
-    std::map<std::uint64_t, std::shared_ptr<std::promise<traffic_decision>>> m_decisions;
-    std::map<std::uint64_t, std::shared_ptr<std::promise<peer_answer>>> m_peerReplies;
-    std::uint64_t m_nextToken = 1;
+    std::map<std::uint64_t, std::shared_ptr<std::promise<traffic_decision>>> m_pendingDecisions;
+    std::map<std::uint64_t, std::shared_ptr<std::promise<peer_answer>>> m_pendingPeerReplies;
+    std::uint64_t m_nextReplyToken = 1;
 };
 
 } // namespace trefoil
--- a/trefoilrouter/src/edge/caller_session.cpp
+++ b/trefoilrouter/src/edge/caller_session.cpp
@@ -224,7 +224,7 @@
 
 child_body callerListener(edge_state &state, server_connections &connections, const endpoint &place)
 {
-    return listenerChild(place, [&state, &connections, place](const std::stop_token &stop) {
+    return makeListenerChild(place, [&state, &connections, place](const std::stop_token &stop) {
         Poco::Net::TCPServerParams::Ptr params = new Poco::Net::TCPServerParams;
         params->setMaxThreads(mostConnections);
         params->setMaxQueued(backlog);
--- a/trefoilrouter/src/edge/edge_instance.cpp
+++ b/trefoilrouter/src/edge/edge_instance.cpp
@@ -9,7 +9,7 @@
 #include "edge/caller_session.h"
 #include "edge/edge_handlers.h"
 #include "http_util.h"
-#include "verb_files.h"
+#include "table_files.h"
 
 namespace trefoil {
 
@@ -61,29 +61,29 @@
     all.push_back(
         {.name = "house", .body = [this](const std::stop_token &stop) { return keepHouse(stop); }});
     all.push_back(m_exchange.child());
-    for (child_spec &worker : m_queue.workers("orders", queueThreads))
+    for (child_spec &worker : m_queue.makeWorkers("orders", queueThreads))
         all.push_back(std::move(worker));
-    for (child_spec &worker : m_probes.workers("probes", probeThreads))
+    for (child_spec &worker : m_probes.makeWorkers("probes", probeThreads))
         all.push_back(std::move(worker));
     for (child_spec &each : m_duty.children(m_exchange))
         all.push_back(std::move(each));
     all.push_back({.name = "peer-listener",
-                   .body = httpListener({.place = m_settings.peers,
-                                         .threads = peerThreads,
-                                         .keepsConnections = false,
-                                         .factory = peersFactory(m_state, m_watch)})});
+                   .body = makeHttpListener({.address = m_settings.peers,
+                                             .threads = peerThreads,
+                                             .keepAlive = false,
+                                             .factory = peersFactory(m_state, m_watch)})});
     all.push_back(
         {.name = "callers", .body = callerListener(m_state, m_connections, m_settings.callers)});
     all.push_back({.name = "entry",
-                   .body = httpListener({.place = m_settings.entry,
-                                         .threads = entryThreads,
-                                         .keepsConnections = false,
-                                         .factory = entryFactory(m_state)})});
+                   .body = makeHttpListener({.address = m_settings.entry,
+                                             .threads = entryThreads,
+                                             .keepAlive = false,
+                                             .factory = entryFactory(m_state)})});
     all.push_back({.name = "readiness",
-                   .body = httpListener({.place = m_settings.readiness,
-                                         .threads = peerThreads,
-                                         .keepsConnections = false,
-                                         .factory = entryFactory(m_state)})});
+                   .body = makeHttpListener({.address = m_settings.readiness,
+                                             .threads = peerThreads,
+                                             .keepAlive = false,
+                                             .factory = entryFactory(m_state)})});
     return all;
 }
 
--- a/trefoilrouter/src/edge/store_watch.cpp
+++ b/trefoilrouter/src/edge/store_watch.cpp
@@ -233,7 +233,7 @@
         }
     }
     for (const std::pair<std::string, endpoint> &each : overdue) {
-        const result<http_answer> answer = httpCallOnce(
+        const result<http_response> answer = httpCallOnce(
             each.second, {.path = "/copy?kind=" + encodeUri(each.first)}, fetchTimeout);
         if (answer && answer->status == HTTPResponse::HTTP_OK)
             takeFetched(each.first, answer->body);
--- a/trefoilrouter/src/http_platform.h
+++ b/trefoilrouter/src/http_object_store.h
@@ -6,33 +6,33 @@
 #include <core/json.h>
 #include <platform/object_store.h>
 
-#include "json_channel.h"
+#include "json_http_client.h"
 
 namespace trefoil {
 
-/// The platform's object API over HTTP. Another protocol is another implementation of
+/// Client of the platform's object API over HTTP. Other protocols are separate implementations of
 /// object_store. Thread-safe.
-class http_platform : public object_store
+class http_object_store : public object_store
 {
 public:
-    /// Calls @p place within @p callsPerSecond; a call beyond it is refused without being sent.
-    http_platform(endpoint place, double callsPerSecond);
+    /// Makes calls to @p address. A call beyond @p callsPerSecond fails without being sent.
+    http_object_store(endpoint address, double callsPerSecond);
 
     result<object> get(const std::string &name) override;
     result<std::vector<object>> list(const std::string &prefix) override;
     result<std::uint64_t> put(const std::string &name, const std::string &value,
                               std::uint64_t expected) override;
     result<object_changes> watch(const std::string &prefix, std::uint64_t from,
-                                 duration patience) override;
+                                 duration maxWait) override;
     result<std::vector<listed_instance>> instances() override;
 
-    /// The budget, for metrics.
-    const call_budget &budget() const { return m_channel.budget(); }
+    /// Returns the call rate limiter, for metrics.
+    const call_budget &budget() const { return m_client.budget(); }
 
 private:
     result<Json::Value> call(const http_call &request, duration timeout);
 
-    json_channel m_channel;
+    json_http_client m_client;
 };
 
 } // namespace trefoil
--- a/trefoilrouter/src/http_util.cpp
+++ b/trefoilrouter/src/http_util.cpp
@@ -15,14 +15,14 @@
 
 namespace {
 
-/// Largest answer that a small call takes: an object of the platform, and some room.
-constexpr std::size_t maxAnswerBytes = 16 << 20;
+/// Maximum size of a response body, well above the largest object of the platform.
+constexpr std::size_t maxResponseBytes = 16 << 20;
 
-/// Connections that may wait for a thread.
+/// Maximum number of accepted connections that wait for a thread.
 constexpr int maxQueuedConnections = 256;
 
-/// A connection without a request is kept this long.
-constexpr duration keepAlive = std::chrono::seconds(30);
+/// How long an idle connection is kept open.
+constexpr duration keepAliveTimeout = std::chrono::seconds(30);
 
 } // namespace
 
@@ -31,7 +31,7 @@
     return Poco::Timespan(std::chrono::duration_cast<std::chrono::microseconds>(time).count());
 }
 
-result<http_answer> httpCall(Poco::Net::HTTPClientSession &session, const http_call &call)
+result<http_response> httpCall(Poco::Net::HTTPClientSession &session, const http_call &call)
 {
     bool sent = false;
     try {
@@ -47,28 +47,28 @@
         sent = true;
         out << call.body;
         out.flush();
-        Poco::Net::HTTPResponse response;
-        std::istream &in = session.receiveResponse(response);
-        http_answer answer {.status = response.getStatus(), .body = {}};
-        if (!readBody(in, maxAnswerBytes, answer.body))
-            return failure(http_errors::broken, "the answer is too long");
-        const bool cut = response.hasContentLength()
-            && answer.body.size() != static_cast<std::size_t>(response.getContentLength64());
-        if (cut)
-            return failure(http_errors::broken, "the answer was cut");
-        return answer;
-    } catch (const Poco::Net::ConnectionRefusedException &problem) {
-        return failure(http_errors::refused, problem.displayText());
-    } catch (const Poco::Exception &problem) {
+        Poco::Net::HTTPResponse head;
+        std::istream &in = session.receiveResponse(head);
+        http_response response {.status = head.getStatus(), .body = {}};
+        if (!readBody(in, maxResponseBytes, response.body))
+            return failure(http_errors::broken, "the response is too long");
+        const bool isTruncated = head.hasContentLength()
+            && response.body.size() != static_cast<std::size_t>(head.getContentLength64());
+        if (isTruncated)
+            return failure(http_errors::broken, "the response was truncated");
+        return response;
+    } catch (const Poco::Net::ConnectionRefusedException &exception) {
+        return failure(http_errors::refused, exception.displayText());
+    } catch (const Poco::Exception &exception) {
         session.reset();
         return failure(sent ? http_errors::broken : http_errors::unreachable,
-                       problem.displayText());
+                       exception.displayText());
     }
 }
 
-result<http_answer> httpCallOnce(const endpoint &place, const http_call &call, duration timeout)
+result<http_response> httpCallOnce(const endpoint &address, const http_call &call, duration timeout)
 {
-    Poco::Net::HTTPClientSession session(place.host, place.port);
+    Poco::Net::HTTPClientSession session(address.host, address.port);
     setTimeouts(session, timeout, timeout);
     return httpCall(session, call);
 }
@@ -89,29 +89,29 @@
         && !session.socket().poll(Poco::Timespan(0), Poco::Net::Socket::SELECT_READ);
 }
 
-std::size_t readSome(std::istream &input, std::span<char> room)
+std::size_t readAvailable(std::istream &input, std::span<char> buffer)
 {
     const int first = input.get();
     if (first == std::char_traits<char>::eof())
         return 0;
-    room[0] = static_cast<char>(first);
+    buffer[0] = static_cast<char>(first);
     const std::streamsize more =
-        input.readsome(room.data() + 1, static_cast<std::streamsize>(room.size() - 1));
+        input.readsome(buffer.data() + 1, static_cast<std::streamsize>(buffer.size() - 1));
     return 1 + static_cast<std::size_t>(std::max<std::streamsize>(more, 0));
 }
 
-bool readBody(std::istream &input, std::size_t most, std::string &body)
+bool readBody(std::istream &input, std::size_t maxBytes, std::string &body)
 {
-    constexpr std::size_t pieceBytes = 16 << 10;
+    constexpr std::size_t chunkBytes = 16 << 10;
     while (input.good()) {
         const std::size_t before = body.size();
-        if (before > most)
+        if (before > maxBytes)
             return false;
-        body.resize(before + pieceBytes);
-        input.read(body.data() + before, static_cast<std::streamsize>(pieceBytes));
+        body.resize(before + chunkBytes);
+        input.read(body.data() + before, static_cast<std::streamsize>(chunkBytes));
         body.resize(before + static_cast<std::size_t>(input.gcount()));
     }
-    return body.size() <= most;
+    return body.size() <= maxBytes;
 }
 
 std::string encodeUri(std::string_view text)
@@ -130,10 +130,10 @@
     return "";
 }
 
-Poco::Net::ServerSocket listenOn(const endpoint &place, int backlog)
+Poco::Net::ServerSocket listenOn(const endpoint &address, int backlog)
 {
     Poco::Net::ServerSocket socket;
-    socket.bind(Poco::Net::SocketAddress(place.host, place.port), true, false);
+    socket.bind(Poco::Net::SocketAddress(address.host, address.port), true, false);
     socket.listen(backlog);
     return socket;
 }
@@ -146,34 +146,35 @@
     stopped.wait(lock, stop, [] { return false; });
 }
 
-child_body listenerChild(endpoint place, std::function<void(const std::stop_token &stop)> serve)
+child_body makeListenerChild(endpoint address,
+                             std::function<void(const std::stop_token &stop)> serve)
 {
-    return [place = std::move(place),
+    return [address = std::move(address),
             serve = std::move(serve)](const std::stop_token &stop) -> result<void> {
         try {
             serve(stop);
             return {};
-        } catch (const Poco::Exception &problem) {
+        } catch (const Poco::Exception &exception) {
             return failure("listen",
-                           "can't listen on " + toString(place) + ": " + problem.displayText());
+                           "can't listen on " + toString(address) + ": " + exception.displayText());
         }
     };
 }
 
-child_body httpListener(listener_options options)
+child_body makeHttpListener(listener_options options)
 {
-    const endpoint place = options.place;
-    return listenerChild(place, [options = std::move(options)](const std::stop_token &stop) {
+    const endpoint address = options.address;
+    return makeListenerChild(address, [options = std::move(options)](const std::stop_token &stop) {
         Poco::Net::HTTPServerParams::Ptr params = new Poco::Net::HTTPServerParams;
         params->setMaxThreads(options.threads);
         params->setMaxQueued(maxQueuedConnections);
         params->setTimeout(toTimespan(options.timeout));
-        params->setKeepAlive(options.keepsConnections);
-        params->setKeepAliveTimeout(toTimespan(keepAlive));
+        params->setKeepAlive(options.keepAlive);
+        params->setKeepAliveTimeout(toTimespan(keepAliveTimeout));
         params->setMaxKeepAliveRequests(0);
         Poco::ThreadPool threads(2, options.threads);
         Poco::Net::HTTPServer server(options.factory, threads,
-                                     listenOn(options.place, maxQueuedConnections), params);
+                                     listenOn(options.address, maxQueuedConnections), params);
         server.start();
         waitForStop(stop);
         server.stopAll(true);
--- a/trefoilrouter/src/http_util.h
+++ b/trefoilrouter/src/http_util.h
@@ -20,14 +20,14 @@
 
 namespace trefoil {
 
-/// Answer to a small HTTP call.
-struct http_answer
+/// Response to an http_call.
+struct http_response
 {
     int status = 0;
     std::string body;
 };
 
-/// A small HTTP call: no streaming, the whole body in memory.
+/// An HTTP request without streaming: both bodies are held in memory.
 struct http_call
 {
     std::string method = "GET";
@@ -39,64 +39,74 @@
 
 /// Error codes of httpCall().
 namespace http_errors {
-/// No process listens there: nothing was sent.
+/// The connection was refused: nothing was sent.
 inline constexpr const char *refused = "connection-refused";
-/// No connection came about in time: nothing was sent.
+/// The connection could not be established: nothing was sent.
 inline constexpr const char *unreachable = "unreachable";
-/// Something was sent, and no whole answer came.
+/// The request was sent at least in part, but no complete response was received.
 inline constexpr const char *broken = "broken";
 } // namespace http_errors
 
-/// Returns @p time for POCO. Thread-safe.
+/// Converts @p time to POCO's type. Thread-safe.
 Poco::Timespan toTimespan(duration time);
 
-/// Makes one call on @p session, which is usable for the next one only if this succeeds. Errors:
-/// those of http_errors. Not thread-safe on the same session.
-result<http_answer> httpCall(Poco::Net::HTTPClientSession &session, const http_call &call);
+/// Makes one call on @p session, which may be reused only if the call succeeds. Errors: those of
+/// http_errors. Not thread-safe on the same session.
+result<http_response> httpCall(Poco::Net::HTTPClientSession &session, const http_call &call);
 
-/// Makes one call on a new connection to @p place. Thread-safe.
-result<http_answer> httpCallOnce(const endpoint &place, const http_call &call, duration timeout);
+/// Makes one call on a new connection to @p address. @p timeout applies separately to connecting,
+/// to sending and to receiving. Errors: those of http_errors. Thread-safe.
+result<http_response> httpCallOnce(const endpoint &address, const http_call &call,
+                                   duration timeout);
 
-/// Sets the timeouts of @p session, also of a kept connection, which otherwise has those of its
-/// last use. Not thread-safe on the same session.
+/// Sets the timeouts of @p session and of its open socket, which would otherwise keep those of the
+/// previous call. Not thread-safe on the same session.
 void setTimeouts(Poco::Net::HTTPClientSession &session, duration connect, duration transfer);
 
-/// Returns whether an idle kept connection may be used again: one that has something to read was
-/// closed by the other side. Not thread-safe on the same session.
+/// Returns whether an idle connection may be reused. An idle connection that is readable was closed
+/// by the server. Not thread-safe on the same session.
 bool isReusable(Poco::Net::HTTPClientSession &session);
 
-/// Reads into @p room what has come, waiting for at least one byte. Returns 0 at the end.
-std::size_t readSome(std::istream &input, std::span<char> room);
+/// Reads the available bytes into @p buffer, blocking for the first one. Returns the number of
+/// bytes, 0 at the end of the stream. Precondition: @p buffer is not empty.
+std::size_t readAvailable(std::istream &input, std::span<char> buffer);
 
-/// Reads @p input to its end, or up to @p most bytes. Returns false when there is more.
-bool readBody(std::istream &input, std::size_t most, std::string &body);
+/// Appends @p input to @p body up to its end. Stops and returns false once @p body exceeds
+/// @p maxBytes.
+bool readBody(std::istream &input, std::size_t maxBytes, std::string &body);
 
-/// Returns @p text with everything but letters, digits and -_.~ percent-encoded. Thread-safe.
+/// Percent-encodes all characters of @p text except letters, digits and -_.~. Thread-safe.
 std::string encodeUri(std::string_view text);
 
 /// Returns the first value of parameter @p name in @p uri, or "". Thread-safe.
 std::string queryValue(const Poco::URI &uri, std::string_view name);
 
-/// Returns a socket that listens on @p place. Throws Poco::Exception where it can't.
-Poco::Net::ServerSocket listenOn(const endpoint &place, int backlog);
+/// Returns a socket that listens on @p address. Throws Poco::Exception on failure.
+Poco::Net::ServerSocket listenOn(const endpoint &address, int backlog);
 
 /// Blocks until @p stop is requested.
 void waitForStop(const std::stop_token &stop);
 
-/// Makes a child of @p serve that fails with error "listen" when listening on @p place throws.
-child_body listenerChild(endpoint place, std::function<void(const std::stop_token &stop)> serve);
+/// Returns a supervised body that runs @p serve. It fails with error "listen" if @p serve throws a
+/// Poco::Exception.
+child_body makeListenerChild(endpoint address,
+                             std::function<void(const std::stop_token &stop)> serve);
 
-/// Makes a child that serves HTTP on @p place until it is stopped; then it lets the handlers that
-/// run finish. Failing to bind is a failure of the child.
+/// Options of makeHttpListener().
 struct listener_options
 {
-    endpoint place;
+    endpoint address;
+    /// Maximum number of concurrent handlers.
     int threads = 8;
+    /// Timeout of socket reads and writes.
     duration timeout = std::chrono::seconds(20);
-    /// Whether connections are kept; each kept one holds a thread.
-    bool keepsConnections = true;
+    /// Whether connections are persistent. Each open connection occupies a thread.
+    bool keepAlive = true;
     Poco::SharedPtr<Poco::Net::HTTPRequestHandlerFactory> factory;
 };
-child_body httpListener(listener_options options);
+/// Returns a supervised body that serves HTTP until it is stopped, then aborts open connections and
+/// waits for the running handlers to return. It fails with error "listen" if the address can't be
+/// bound.
+child_body makeHttpListener(listener_options options);
 
 } // namespace trefoil
--- a/trefoilrouter/src/instance.cpp
+++ b/trefoilrouter/src/instance.cpp
@@ -10,9 +10,9 @@
 #include "backend_client.h"
 #include "callers_handler.h"
 #include "control_thread.h"
-#include "http_platform.h"
+#include "http_object_store.h"
 #include "operators_handler.h"
-#include "peer_link.h"
+#include "peer_rpc.h"
 #include "span_exporter.h"
 #include "work_queue.h"
 
@@ -20,8 +20,8 @@
 
 namespace {
 
-// Threads for work that blocks. Calls to the platform are few and take milliseconds; a watch holds
-// its thread while it waits, so it has one of its own. A peer that hangs holds a sender for 0.4 s.
+// Threads for blocking calls. Calls to the platform are few and take milliseconds. A watch is a
+// long poll, so it has its own thread. An unresponsive peer blocks a sender for 0.4 s.
 constexpr int platformThreads = 3;
 constexpr int watchThreads = 1;
 constexpr int peerThreads = 6;
@@ -32,10 +32,10 @@
 
 constexpr duration drainCheckPeriod = std::chrono::milliseconds(50);
 
-/// Time that rights have to reach their successors when an instance leaves.
-constexpr duration handOverTime = std::chrono::seconds(3);
+/// How long a leaving instance waits for its leases to reach their successors.
+constexpr duration leaseHandoverTimeout = std::chrono::seconds(3);
 
-member_info selfOf(const settings &options)
+member_info makeMemberInfo(const settings &options)
 {
     return {.name = options.name,
             .zone = options.zone,
@@ -45,16 +45,16 @@
             .incarnation = wallMilliseconds()};
 }
 
-control_options controlOptions(const settings &options)
+control_options makeControlOptions(const settings &options)
 {
-    control_options control {.self = selfOf(options)};
+    control_options control {.self = makeMemberInfo(options)};
     for (const endpoint &seed : options.seeds)
         control.seeds.push_back(toString(seed));
     control.randomSeed = rendezvousWeight(options.name, std::to_string(wallMilliseconds()));
     return control;
 }
 
-void waitFor(const std::stop_token &stop)
+void waitUntilStopRequested(const std::stop_token &stop)
 {
     std::mutex mutex;
     std::condition_variable_any stopped;
@@ -64,19 +64,19 @@
 
 } // namespace
 
-/// The parts of an instance, in the order in which they need each other.
-class instance::parts : public control_outlet
+/// The components of an instance, declared in order of dependency.
+class instance::impl : public control_action_handler
 {
 public:
-    explicit parts(settings given)
-        : options(std::move(given)), control(controlOptions(options)),
+    explicit impl(settings instanceSettings)
+        : options(std::move(instanceSettings)), control(makeControlOptions(options)),
           platform(options.platform, options.platformCallsPerSecond), peers(options.peerSecret),
           spans(options.name, options.traceFile, options.traceEndpoint)
     { }
 
-    void send(peer_send action) override
+    void sendToPeer(peer_send action) override
     {
-        m_peerWork.post([this, action = std::move(action)] {
+        m_peerQueue.post([this, action = std::move(action)] {
             const result<peer_answer> answer = peers.call(action.to, action.request);
             if (answer)
                 control.postPeerAnswer(action.id, *answer);
@@ -85,18 +85,18 @@
         });
     }
 
-    void call(platform_call action) override
+    void callPlatform(platform_call action) override
     {
-        work_queue &work =
-            std::holds_alternative<platform_watch>(action.request) ? m_watchWork : m_platformWork;
-        work.post([this, action = std::move(action)] {
-            control.postPlatformAnswer(action.id, callPlatform(action.request));
+        work_queue &queue =
+            std::holds_alternative<platform_watch>(action.request) ? m_watchQueue : m_platformQueue;
+        queue.post([this, action = std::move(action)] {
+            control.postPlatformAnswer(action.id, runPlatformRequest(action.request));
         });
     }
 
-    void poll(server_poll action) override
+    void pollServer(server_poll action) override
     {
-        m_pollWork.post([this, action = std::move(action)] {
+        m_serverQueue.post([this, action = std::move(action)] {
             result<server_state_report> report = backends.readState(action);
             if (report)
                 control.postServerState(action.server, std::move(*report));
@@ -105,44 +105,45 @@
         });
     }
 
-    void order(server_order_call action) override
+    void sendLoadOrder(server_order_call action) override
     {
-        m_pollWork.post([this, action = std::move(action)] {
-            // Asked again here: the order may have waited behind a slow server.
-            if (!control.askHolds(action.order.right)) {
+        m_serverQueue.post([this, action = std::move(action)] {
+            // The lease is checked again, since it may have expired while the order was queued.
+            if (!control.holdsLease(action.order.right)) {
                 control.postOrderDone(action.id, false);
                 return;
             }
             const result<void> done = backends.orderLoad(action.order);
             if (!done)
-                logWarning("rollouts", "an order failed: " + done.error().message + ".");
+                logWarning("rollouts", "load order failed: " + done.error().message + ".");
             control.postOrderDone(action.id, done.has_value());
         });
     }
 
-    child_body tree()
+    child_body makeSupervisorTree()
     {
-        const auto report = [](std::string_view child, const error &reason) {
+        const auto logFailure = [](std::string_view child, const error &reason) {
             logError("supervisor",
-                     "child \"" + std::string(child) + "\" failed: " + reason.message + ".");
+                     "Child \"" + std::string(child) + "\" failed: " + reason.message + ".");
         };
-        std::vector<child_spec> platformChildren = m_platformWork.workers("call", platformThreads);
-        for (child_spec &each : m_watchWork.workers("watch", watchThreads))
+        std::vector<child_spec> platformChildren =
+            m_platformQueue.makeWorkers("call", platformThreads);
+        for (child_spec &each : m_watchQueue.makeWorkers("watch", watchThreads))
             platformChildren.push_back(std::move(each));
-        std::vector<child_spec> peerChildren = m_peerWork.workers("send", peerThreads);
-        peerChildren.push_back(
-            {.name = "listener",
-             .body = httpListener({.place = options.peers,
-                                   .threads = peerListenerThreads,
-                                   .factory = peersFactory(control, options.peerSecret)})});
+        std::vector<child_spec> peerChildren = m_peerQueue.makeWorkers("send", peerThreads);
+        peerChildren.push_back({.name = "listener",
+                                .body = makeHttpListener({.address = options.peers,
+                                                          .threads = peerListenerThreads,
+                                                          .factory = makePeersHandlerFactory(
+                                                              control, options.peerSecret)})});
         const child_body platformTree = supervise(
-            {.name = "platform", .children = std::move(platformChildren), .onFailure = report});
-        const child_body peerTree =
-            supervise({.name = "peers", .children = std::move(peerChildren), .onFailure = report});
+            {.name = "platform", .children = std::move(platformChildren), .onFailure = logFailure});
+        const child_body peerTree = supervise(
+            {.name = "peers", .children = std::move(peerChildren), .onFailure = logFailure});
         const child_body serverTree =
             supervise({.name = "servers",
-                       .children = m_pollWork.workers("poll", pollThreads),
-                       .onFailure = report});
+                       .children = m_serverQueue.makeWorkers("poll", pollThreads),
+                       .onFailure = logFailure});
         return supervise(
             {.name = options.name,
              .children = {{.name = "traces", .body = spans.body()},
@@ -151,47 +152,48 @@
                           {.name = "servers", .body = serverTree, .maxRestarts = 0},
                           {.name = "peers", .body = peerTree, .maxRestarts = 0},
                           {.name = "operators",
-                           .body = httpListener(
-                               {.place = options.operators,
-                                .threads = operatorThreads,
-                                .factory = operatorsFactory(control, metrics, platform.budget())})},
+                           .body = makeHttpListener({.address = options.operators,
+                                                     .threads = operatorThreads,
+                                                     .factory = makeOperatorsHandlerFactory(
+                                                         control, metrics, platform.budget())})},
                           {.name = "callers",
-                           .body =
-                               httpListener({.place = options.callers,
-                                             .threads = options.callerThreads,
-                                             .timeout = options.callerTimeout,
-                                             .factory = callersFactory(
-                                                 {control, backends, spans, metrics}, options)})}},
-             .onFailure = report});
+                           .body = makeHttpListener(
+                               {.address = options.callers,
+                                .threads = options.callerThreads,
+                                .timeout = options.callerTimeout,
+                                .factory = makeCallersHandlerFactory(
+                                    {control, backends, spans, metrics}, options)})}},
+             .onFailure = logFailure});
     }
 
-    /// Leaves the entry answer, serves who still comes by an old one, and waits for open streams.
+    /// Leaves the entry list, keeps serving callers with a cached list until it expires, and waits
+    /// for open streams and for the handover of leases.
     void drain()
     {
         logInfo("instance", "Leaving: rights are handed over, streams finish.");
         control.leave();
         const timestamp start = boot_clock::now();
-        const auto waited = [&] { return boot_clock::now() - start; };
-        while (waited() < entryValidity + drainCheckPeriod)
+        const auto elapsed = [&] { return boot_clock::now() - start; };
+        while (elapsed() < entryValidity + drainCheckPeriod)
             std::this_thread::sleep_for(drainCheckPeriod);
-        while (control.openRequests() > 0 && waited() < options.drainTimeout)
+        while (control.openRequests() > 0 && elapsed() < options.drainTimeout)
             std::this_thread::sleep_for(drainCheckPeriod);
-        while (!control.released() && waited() < entryValidity + handOverTime)
+        while (!control.hasReleasedLeases() && elapsed() < entryValidity + leaseHandoverTimeout)
             std::this_thread::sleep_for(drainCheckPeriod);
         if (control.openRequests() > 0)
-            logWarning("instance", "Streams are left that did not finish in time.");
+            logWarning("instance", "Streams still open after the drain timeout are aborted.");
     }
 
     settings options;
     control_thread control;
-    http_platform platform;
+    http_object_store platform;
     peer_client peers;
     backend_client backends;
     span_exporter spans;
     metric_registry metrics;
 
 private:
-    platform_answer callPlatform(const platform_request &request)
+    platform_answer runPlatformRequest(const platform_request &request)
     {
         if (const platform_list *list = std::get_if<platform_list>(&request))
             return platform.list(list->prefix);
@@ -204,30 +206,30 @@
         return platform.instances();
     }
 
-    work_queue m_platformWork;
-    work_queue m_watchWork;
-    work_queue m_peerWork;
-    work_queue m_pollWork;
+    work_queue m_platformQueue;
+    work_queue m_watchQueue;
+    work_queue m_peerQueue;
+    work_queue m_serverQueue;
 };
 
-instance::instance(settings options) : m_parts(std::make_unique<parts>(std::move(options))) { }
+instance::instance(settings options) : m_impl(std::make_unique<impl>(std::move(options))) { }
 instance::~instance() = default;
 
 result<void> instance::run(const std::stop_token &stop)
 {
-    const child_body tree = m_parts->tree();
-    std::stop_source end;
-    logInfo("instance", "Starting on " + toString(m_parts->options.callers) + ".");
+    const child_body tree = m_impl->makeSupervisorTree();
+    std::stop_source treeStop;
+    logInfo("instance", "Starting on " + toString(m_impl->options.callers) + ".");
     std::jthread drainer([&](const std::stop_token &treeEnded) {
-        std::stop_source either;
-        const std::stop_callback onStop(stop, [&] { either.request_stop(); });
-        const std::stop_callback onEnd(treeEnded, [&] { either.request_stop(); });
-        waitFor(either.get_token());
+        std::stop_source stopOrTreeEnd;
+        const std::stop_callback onStop(stop, [&] { stopOrTreeEnd.request_stop(); });
+        const std::stop_callback onEnd(treeEnded, [&] { stopOrTreeEnd.request_stop(); });
+        waitUntilStopRequested(stopOrTreeEnd.get_token());
         if (!treeEnded.stop_requested())
-            m_parts->drain();
-        end.request_stop();
+            m_impl->drain();
+        treeStop.request_stop();
     });
-    const result<void> outcome = tree(end.get_token());
+    const result<void> outcome = tree(treeStop.get_token());
     drainer.request_stop();
     drainer.join();
     logInfo("instance", outcome ? "Stopped." : "Stopped: " + outcome.error().message + ".");
--- a/trefoilrouter/src/instance.h
+++ b/trefoilrouter/src/instance.h
@@ -8,10 +8,11 @@
 
 namespace trefoil {
 
-/// One entry instance: the wiring of its parts into a supervisor tree.
+/// An entry instance: creates its components and runs them in a supervisor tree.
 ///
 ///     instance router(settings);
-///     result<void> end = router.run(stop); // until stop is requested, or a part keeps failing
+///     result<void> end = router.run(stop); // blocks until stop is requested or a component keeps
+///     failing
 class instance
 {
 public:
@@ -20,14 +21,13 @@
     instance(const instance &) = delete;
     instance &operator=(const instance &) = delete;
 
-    /// Runs until @p stop is requested, then shuts down gracefully: it leaves the entry answer,
-    /// hands its rights over, finishes its streams and ends. Error: the reason of a part that kept
-    /// failing.
+    /// Runs until @p stop is requested, then shuts down gracefully: it leaves the entry list, hands
+    /// over its leases and waits for open streams. Error: that of the component that kept failing.
     result<void> run(const std::stop_token &stop);
 
 private:
-    class parts;
-    std::unique_ptr<parts> m_parts;
+    class impl;
+    std::unique_ptr<impl> m_impl;
 };
 
 } // namespace trefoil
--- /dev/null
+++ b/trefoilrouter/src/json_http_client.cpp
@@ -0,0 +1,63 @@
+#include "json_http_client.h"
+
+#include <platform/object_store.h>
+
+namespace trefoil {
+
+namespace {
+
+/// A server in the region accepts within milliseconds; a lost SYN is retransmitted after one
+/// second.
+constexpr duration connectTimeout = std::chrono::milliseconds(1200);
+
+} // namespace
+
+json_http_client::json_http_client(endpoint address, double callsPerSecond)
+    : m_address(std::move(address)), m_budget(callsPerSecond)
+{ }
+
+json_http_client::session_ptr json_http_client::takeSession()
+{
+    const std::lock_guard<std::mutex> lock(m_mutex);
+    while (!m_idle.empty()) {
+        session_ptr session = std::move(m_idle.back());
+        m_idle.pop_back();
+        if (isReusable(*session))
+            return session;
+    }
+    return std::make_unique<Poco::Net::HTTPClientSession>(m_address.host, m_address.port);
+}
+
+void json_http_client::returnSession(session_ptr session)
+{
+    const std::lock_guard<std::mutex> lock(m_mutex);
+    m_idle.push_back(std::move(session));
+}
+
+result<json_http_client::reply> json_http_client::call(const http_call &request, duration timeout)
+{
+    if (!m_budget.take(boot_clock::now()))
+        return failure(platform_errors::refused,
+                       "the rate limit of calls to the platform is exceeded");
+    session_ptr session = takeSession();
+    setTimeouts(*session, std::min(connectTimeout, timeout), timeout);
+    const result<http_response> response = httpCall(*session, request);
+    if (!response) {
+        const bool isWrite = request.method != "GET";
+        const bool mayHaveArrived = isWrite && response.error().code == http_errors::broken;
+        return failure(mayHaveArrived ? platform_errors::unknownOutcome
+                                      : platform_errors::unavailable,
+                       response.error().message);
+    }
+    returnSession(std::move(session));
+    reply parsedReply {.status = response->status, .body = {}};
+    if (response->body.empty())
+        return parsedReply;
+    result<Json::Value> value = parseJson(response->body, "the response to " + request.path);
+    if (!value)
+        return failure(platform_errors::unavailable, value.error().message);
+    parsedReply.body = std::move(*value);
+    return parsedReply;
+}
+
+} // namespace trefoil
--- a/trefoilrouter/src/json_channel.h
+++ b/trefoilrouter/src/json_http_client.h
@@ -15,27 +15,28 @@
 
 namespace trefoil {
 
-/// Kept connections to one HTTP server that answers calls with JSON, with a budget of calls a
-/// second. Thread-safe.
-class json_channel
+/// Client of one HTTP server with JSON responses: persistent connections and a limit on the call
+/// rate. Thread-safe.
+class json_http_client
 {
 public:
-    /// Calls @p place, at most @p callsPerSecond times a second.
-    json_channel(endpoint place, double callsPerSecond);
+    /// Makes calls to @p address, at most @p callsPerSecond.
+    json_http_client(endpoint address, double callsPerSecond);
 
-    /// Answer of any status.
+    /// Response of any status.
     struct reply
     {
         int status = 0;
-        /// Null where the body is empty.
+        /// Null if the response has no body.
         Json::Value body;
     };
 
-    /// Makes one call; the answer must begin within @p timeout. Errors: those of platform_errors;
-    /// refused where the budget is spent, unknown-outcome where a write may have taken effect.
+    /// Makes one call; @p timeout limits each wait for data. Errors: those of platform_errors;
+    /// refused if the call rate limit is exceeded, unknown-outcome if a write may have taken
+    /// effect.
     result<reply> call(const http_call &request, duration timeout);
 
-    /// The budget, for metrics.
+    /// Returns the call rate limiter, for metrics.
     const call_budget &budget() const { return m_budget; }
 
 private:
@@ -44,7 +45,7 @@
     session_ptr takeSession();
     void returnSession(session_ptr session);
 
-    endpoint m_place;
+    endpoint m_address;
     call_budget m_budget;
     std::mutex m_mutex;
     std::vector<session_ptr> m_idle;
--- a/trefoilrouter/src/main.cpp
+++ b/trefoilrouter/src/main.cpp
@@ -15,7 +15,7 @@
 ABSL_FLAG(std::string, platform, "", "address:port of the platform's object API");
 ABSL_FLAG(std::string, instance, "", "address:port of an instance's operators' listener");
 ABSL_FLAG(std::string, team, "", "name of a team");
-ABSL_FLAG(std::string, name, "", "what to call a key");
+ABSL_FLAG(std::string, name, "", "name of the key");
 ABSL_FLAG(std::string, digest, "", "first digits of a key's digest");
 ABSL_FLAG(std::string, format, "text", "text or json");
 
@@ -34,20 +34,20 @@
     static const std::map<std::string, verb_help> all {
         {"serve", {"runs an entry instance until SIGTERM", "trefoilrouter serve --settings FILE"}},
         {"edge",
-         {"runs an entry instance on the users' platform until SIGTERM",
+         {"runs an entry instance hosted by an external platform until SIGTERM",
           "trefoilrouter edge [--settings FILE]"}},
         {"check",
          {"prints every finding in settings, routes and pools; exit 2 on any",
           "trefoilrouter check [--settings FILE] [--routes FILE] [--pools FILE] [--format "
           "text|json]"}},
         {"apply",
-         {"puts checked tables into the platform by conditional update",
+         {"checks tables and writes them to the platform by conditional update",
           "trefoilrouter apply --platform ADDRESS:PORT [--routes FILE] [--pools FILE]"}},
         {"status",
          {"prints members, configuration in force, limits and rollouts",
           "trefoilrouter status --instance ADDRESS:PORT [--format text|json]"}},
         {"explain",
-         {"prints what the logs of several instances say of one request",
+         {"prints the log records of several instances about one request",
           "trefoilrouter explain REQUEST-ID [FILE...] [--format text|json]"}},
         {"keys",
          {"issues, lists and withdraws callers' keys",
@@ -56,7 +56,7 @@
           "text|json]\n"
           "       trefoilrouter keys withdraw --platform ADDRESS:PORT --digest DIGITS"}},
         {"version", {"prints the version", "trefoilrouter version"}},
-        {"help", {"prints this, or the usage of a verb", "trefoilrouter help [VERB]"}},
+        {"help", {"prints this list, or the usage of a verb", "trefoilrouter help [VERB]"}},
     };
     return all;
 }
@@ -126,7 +126,7 @@
 int main(int argc, char **argv)
 {
     const std::vector<std::string> words(argv + 1, argv + argc);
-    // Abseil's own --help lists flags of all verbs; each verb has its own page here.
+    // Abseil's --help would list the flags of all verbs; here each verb prints its own usage.
     for (const std::string &word : words) {
         if (word == "--help" || word == "-h") {
             printHelp(std::cout, words.front());
@@ -134,15 +134,15 @@
         }
     }
     absl::SetProgramUsageMessage("trefoilrouter VERB [FLAGS]");
-    const std::vector<char *> left = absl::ParseCommandLine(argc, argv);
-    const std::vector<std::string> arguments(left.begin() + 1, left.end());
+    const std::vector<char *> positional = absl::ParseCommandLine(argc, argv);
+    const std::vector<std::string> arguments(positional.begin() + 1, positional.end());
     if (arguments.empty()) {
         printHelp(std::cerr, "");
         return exit_status::ExitUsage;
     }
-    const std::string wanted = absl::GetFlag(FLAGS_format);
-    if (wanted != "text" && wanted != "json") {
-        std::cerr << "trefoilrouter: --format must be text or json, not \"" << wanted << "\"\n";
+    const std::string formatName = absl::GetFlag(FLAGS_format);
+    if (formatName != "text" && formatName != "json") {
+        std::cerr << "trefoilrouter: --format must be text or json, not \"" << formatName << "\"\n";
         return exit_status::ExitUsage;
     }
     return runVerb(arguments.front(), {arguments.begin() + 1, arguments.end()});
--- a/trefoilrouter/src/operators_handler.h
+++ b/trefoilrouter/src/operators_handler.h
@@ -8,9 +8,10 @@
 
 namespace trefoil {
 
-/// Returns the handler factory of the operators' listener: /healthz, /readyz, /metrics, /status.
-/// Precondition: the arguments outlive it.
+/// Creates the handler factory of the operators' listener: /healthz, /readyz, /metrics, /status.
+/// Precondition: the arguments outlive the factory.
 Poco::SharedPtr<Poco::Net::HTTPRequestHandlerFactory>
-operatorsFactory(control_thread &control, metric_registry &metrics, const call_budget &budget);
+makeOperatorsHandlerFactory(control_thread &control, metric_registry &metrics,
+                            const call_budget &budget);
 
 } // namespace trefoil
--- a/trefoilrouter/src/peer_link.cpp
+++ b/trefoilrouter/src/peer_rpc.cpp
@@ -1,4 +1,4 @@
-#include "peer_link.h"
+#include "peer_rpc.h"
 
 #include <Poco/Net/HTTPRequestHandler.h>
 #include <Poco/Net/HTTPServerRequest.h>
@@ -9,19 +9,19 @@
 
 namespace {
 
-/// A peer answers at once or not at all; the failure detector needs to know soon.
+/// A live peer responds immediately; a short timeout keeps failure detection fast.
 constexpr duration peerTimeout = std::chrono::milliseconds(400);
 
-/// Connections kept to one peer.
+/// Maximum number of idle connections to one peer.
 constexpr std::size_t maxIdleSessions = 2;
 
-/// A message between peers holds at most one object of a megabyte, escaped.
+/// A message contains at most one object of 1 MiB, which grows when escaped as JSON.
 constexpr std::size_t maxMessageBytes = 8 << 20;
 
-class rpc_handler_http : public Poco::Net::HTTPRequestHandler
+class peer_rpc_handler : public Poco::Net::HTTPRequestHandler
 {
 public:
-    rpc_handler_http(control_thread &control, const std::string &secret)
+    peer_rpc_handler(control_thread &control, const std::string &secret)
         : m_control(control), m_secret(secret)
     { }
 
@@ -41,39 +41,39 @@
             response.send();
             return;
         }
-        // The server object is cheap, and one for each request needs no lock.
-        rpc_server server([this](const Json::Value &message) { return answer(message); });
+        // A cheap object; creating one for each request avoids a lock.
+        rpc_server server([this](const Json::Value &message) { return handleMessage(message); });
         const std::string text = server.answer(body);
         response.setContentType("application/json");
         response.sendBuffer(text.data(), text.size());
     }
 
 private:
-    Json::Value answer(const Json::Value &message)
+    Json::Value handleMessage(const Json::Value &message)
     {
-        Json::Value none(Json::objectValue);
+        Json::Value empty(Json::objectValue);
         const result<peer_request> request = peerRequestFromJson(message);
         if (!request)
-            return none;
-        const std::optional<peer_answer> answer = m_control.askPeerRequest(*request);
-        return answer ? toJson(*answer) : none;
+            return empty;
+        const std::optional<peer_answer> answer = m_control.handlePeerRequest(*request);
+        return answer ? toJson(*answer) : empty;
     }
 
     control_thread &m_control;
     const std::string &m_secret;
 };
 
-class rpc_factory : public Poco::Net::HTTPRequestHandlerFactory
+class peer_rpc_handler_factory : public Poco::Net::HTTPRequestHandlerFactory
 {
 public:
-    rpc_factory(control_thread &control, std::string secret)
+    peer_rpc_handler_factory(control_thread &control, std::string secret)
         : m_control(control), m_secret(std::move(secret))
     { }
 
     Poco::Net::HTTPRequestHandler *
     createRequestHandler(const Poco::Net::HTTPServerRequest &) override
     {
-        return new rpc_handler_http(m_control, m_secret); // the server deletes it
+        return new peer_rpc_handler(m_control, m_secret); // owned by the HTTP server
     }
 
 private:
@@ -83,7 +83,7 @@
 
 } // namespace
 
-peer_client::session_ptr peer_client::takeSession(const std::string &to, const endpoint &place)
+peer_client::session_ptr peer_client::takeSession(const std::string &to, const endpoint &address)
 {
     {
         const std::lock_guard<std::mutex> lock(m_mutex);
@@ -91,12 +91,14 @@
         while (!idle.empty()) {
             session_ptr session = std::move(idle.back());
             idle.pop_back();
-            // Only a new connection tells whether the peer's process is gone.
+            // A connection closed by the peer is not reused: only a new one tells whether the
+            // peer's process has exited.
             if (isReusable(*session))
                 return session;
         }
     }
-    session_ptr session = std::make_unique<Poco::Net::HTTPClientSession>(place.host, place.port);
+    session_ptr session =
+        std::make_unique<Poco::Net::HTTPClientSession>(address.host, address.port);
     session->setKeepAlive(true);
     setTimeouts(*session, peerTimeout, peerTimeout);
     return session;
@@ -104,30 +106,30 @@
 
 result<peer_answer> peer_client::call(const std::string &to, const peer_request &request)
 {
-    endpoint place;
-    if (!parseEndpoint(to, place))
+    endpoint address;
+    if (!parseEndpoint(to, address))
         return failure(http_errors::unreachable, "\"" + to + "\" is not an address and port");
-    session_ptr session = takeSession(to, place);
-    error problem;
+    session_ptr session = takeSession(to, address);
+    error transportError;
     const rpc_transport transport = [&](const std::string &text, std::string &response) {
-        const result<http_answer> answer = httpCall(*session,
-                                                    {.method = "POST",
-                                                     .path = "/rpc",
-                                                     .body = text,
-                                                     .headers = {{peerSecretHeader, m_secret}}});
+        const result<http_response> answer = httpCall(*session,
+                                                      {.method = "POST",
+                                                       .path = "/rpc",
+                                                       .body = text,
+                                                       .headers = {{peerSecretHeader, m_secret}}});
         if (!answer) {
-            problem = answer.error();
+            transportError = answer.error();
             return false;
         }
         response = answer->body;
         return true;
     };
     Json::Value value;
-    std::string why;
-    if (!rpcCall(transport, toJson(request), value, why)) {
-        if (problem.code.empty())
-            problem = {.code = "rpc", .message = why};
-        return tl::unexpected(problem);
+    std::string rpcError;
+    if (!rpcCall(transport, toJson(request), value, rpcError)) {
+        if (transportError.code.empty())
+            transportError = {.code = "rpc", .message = rpcError};
+        return tl::unexpected(transportError);
     }
     const std::lock_guard<std::mutex> lock(m_mutex);
     std::vector<session_ptr> &idle = m_idle[to];
@@ -136,10 +138,10 @@
     return peerAnswerFromJson(value);
 }
 
-Poco::SharedPtr<Poco::Net::HTTPRequestHandlerFactory> peersFactory(control_thread &control,
-                                                                   std::string secret)
+Poco::SharedPtr<Poco::Net::HTTPRequestHandlerFactory>
+makePeersHandlerFactory(control_thread &control, std::string secret)
 {
-    return new rpc_factory(control, std::move(secret));
+    return new peer_rpc_handler_factory(control, std::move(secret));
 }
 
 } // namespace trefoil
--- a/trefoilrouter/src/peer_link.h
+++ b/trefoilrouter/src/peer_rpc.h
@@ -14,31 +14,32 @@
 
 namespace trefoil {
 
-/// Calls to other instances: JSON-RPC over HTTP, on kept connections. Thread-safe.
+/// JSON-RPC client for calls to other instances, over persistent HTTP connections. Thread-safe.
 class peer_client
 {
 public:
-    /// @p secret goes with each call; empty for none.
+    /// @p secret authenticates each call; empty disables authentication.
     explicit peer_client(std::string secret) : m_secret(std::move(secret)) { }
 
-    /// Calls the peer at "address:port". Errors: those of http_errors, "bad-message", "rpc".
+    /// Calls the peer at @p to ("address:port"). Errors: those of http_errors, "bad-message",
+    /// "rpc".
     result<peer_answer> call(const std::string &to, const peer_request &request);
 
 private:
     using session_ptr = std::unique_ptr<Poco::Net::HTTPClientSession>;
 
-    session_ptr takeSession(const std::string &to, const endpoint &place);
+    session_ptr takeSession(const std::string &to, const endpoint &address);
 
     std::string m_secret;
     std::mutex m_mutex;
     std::map<std::string, std::vector<session_ptr>> m_idle;
 };
 
-/// Returns the handler factory of the peers' listener. Precondition: @p control outlives it.
-Poco::SharedPtr<Poco::Net::HTTPRequestHandlerFactory> peersFactory(control_thread &control,
-                                                                   std::string secret);
+/// Creates the handler factory of the peers' listener. Precondition: @p control outlives it.
+Poco::SharedPtr<Poco::Net::HTTPRequestHandlerFactory>
+makePeersHandlerFactory(control_thread &control, std::string secret);
 
-/// Name of the header that carries the peers' secret.
+/// Header that carries the secret shared by all instances.
 inline constexpr const char *peerSecretHeader = "X-Trefoil-Peer";
 
 } // namespace trefoil
--- a/trefoilrouter/src/proxy.h
+++ b/trefoilrouter/src/proxy.h
@@ -20,44 +20,45 @@
 
 namespace trefoil {
 
-/// Where a caller's answer goes. Used by one thread.
-class answer_sink
+/// Writes the response to a caller. Not thread-safe.
+class response_writer
 {
 public:
-    virtual ~answer_sink() = default;
+    virtual ~response_writer() = default;
 
-    /// Sends a whole answer.
-    virtual void whole(int status, const std::string &contentType, const std::string &body) = 0;
-    /// Starts an event stream.
+    /// Sends a complete response.
+    virtual void sendResponse(int status, const std::string &contentType,
+                              const std::string &body) = 0;
+    /// Sends the head of a server-sent event stream.
     virtual void startStream() = 0;
-    /// Sends one event. Returns false when the caller is gone.
-    virtual bool event(std::string_view id, std::string_view data) = 0;
-    /// Sends a refusal: a status and typed body, or an event where the stream has started.
+    /// Sends one event. Returns false if the caller has disconnected.
+    virtual bool sendEvent(std::string_view id, std::string_view data) = 0;
+    /// Sends a refusal: a status and an error body, or an error event if the stream has started.
     virtual void refuse(const traffic_refuse &refusal) = 0;
-    /// Returns whether the caller went away.
-    virtual bool isGone() = 0;
+    /// Returns whether the caller has disconnected.
+    virtual bool isDisconnected() = 0;
 };
 
-/// A checked request on its way to a pool.
+/// A validated request, ready to be forwarded to a backend server of a pool.
 struct proxy_request
 {
-    traffic_begin begin;
-    const pool *target = nullptr;
+    traffic_begin incoming;
+    const pool *targetPool = nullptr;
     std::string method = "POST";
     std::string path;
     std::string contentType = "application/json";
-    /// Headers passed on to the backend server. The caller's credentials are not among them.
+    /// Headers forwarded to the backend server, without the caller's credentials.
     std::vector<std::pair<std::string, std::string>> headers;
     std::vector<std::string_view> body;
     bool stream = false;
-    /// Whether the answer is a model's and must have tokens.
+    /// Whether this is a request to a model, whose response must contain tokens.
     bool isModel = false;
     double promptTokens = 0;
     trace_context trace;
 };
 
-/// Parts of the process that a proxy uses.
-struct proxy_parts
+/// Components of the instance that a proxy uses.
+struct proxy_context
 {
     control_thread &control;
     backend_client &backends;
@@ -65,44 +66,44 @@
     metric_registry &metrics;
 };
 
-/// Carries one request to backend servers, attempt by attempt, until the caller has its answer or a
-/// refusal. Runs on the traffic thread of the caller's connection. Not thread-safe.
+/// Forwards one request to backend servers, with retries, until the caller has received a response
+/// or a refusal. Runs on the thread that serves the caller's connection. Not thread-safe.
 class proxy
 {
 public:
-    proxy(const proxy_parts &parts, proxy_request request, answer_sink &sink);
+    proxy(const proxy_context &context, proxy_request request, response_writer &writer);
 
-    /// Serves the request to its end.
+    /// Serves the request until it is answered or refused or the caller disconnects.
     void run();
 
 private:
-    enum class attempt_end { GoOn, Done, Failed, CallerGone };
+    enum class attempt_result { Continue, Completed, Failed, CallerGone };
 
-    attempt_end attempt(const traffic_go &go);
-    attempt_end readWhole(backend_exchange &exchange);
-    attempt_end readStream(backend_exchange &exchange);
-    attempt_end takeEvent(const server_event &event);
+    attempt_result attempt(const traffic_go &go);
+    attempt_result relayResponse(backend_exchange &exchange);
+    attempt_result relayStream(backend_exchange &exchange);
+    attempt_result handleEvent(const server_event &event);
     backend_request makeRequest(const traffic_go &go) const;
-    void noteFirstToken(const backend_exchange &exchange);
-    void finish(bool answered);
+    void reportFirstToken(const backend_exchange &exchange);
+    void reportEnd(bool answered);
     void fail(attempt_failure kind) { m_failure = kind; }
-    void failWith(const error &problem);
-    void exportAttempt(const traffic_go &go, std::uint64_t startedAt, attempt_end end);
+    void failWith(const error &reason);
+    void exportAttempt(const traffic_go &go, std::uint64_t startedAt, attempt_result outcome);
 
-    proxy_parts m_parts;
+    proxy_context m_context;
     proxy_request m_request;
-    answer_sink &m_sink;
+    response_writer &m_writer;
     stream_assembler m_assembler;
-    std::uint64_t m_attempt = 0; // as the assembler numbers them
+    std::uint64_t m_attempt = 0; // attempt number assigned by the assembler
     attempt_failure m_failure = attempt_failure::Cut;
     trace_context m_attemptTrace;
     bool m_streamStarted = false;
-    bool m_firstToken = false; // of the current attempt
-    bool m_timed = false; // whether the time to the first token was observed
-    double m_usedTokens = 0;
+    bool m_firstTokenReported = false; // in the current attempt
+    bool m_firstTokenTimed = false; // whether the time to first token was recorded in the metrics
+    double m_completionTokens = 0;
     int m_status = 0;
     std::string m_contentType;
-    std::string m_answer;
+    std::string m_responseBody;
     timestamp m_startedAt;
 };
 
--- a/trefoilrouter/src/span_exporter.cpp
+++ b/trefoilrouter/src/span_exporter.cpp
@@ -10,7 +10,7 @@
 
 namespace {
 
-/// Spans in one write at most.
+/// Maximum number of spans in one export.
 constexpr std::size_t maxBatch = 256;
 constexpr duration batchPeriod = std::chrono::milliseconds(200);
 constexpr duration collectorTimeout = std::chrono::seconds(2);
@@ -58,14 +58,14 @@
         std::ofstream file(m_file, std::ios::app);
         file << text << "\n";
         if (!file.flush())
-            logWarning("traces", "can't write to \"" + m_file + "\".");
+            logWarning("traces", "Can't write to \"" + m_file + "\".");
     }
-    endpoint place;
-    if (!m_collector.empty() && parseEndpoint(m_collector, place)) {
-        const result<http_answer> answer = httpCallOnce(
-            place, {.method = "POST", .path = "/v1/traces", .body = text}, collectorTimeout);
-        if (!answer)
-            logWarning("traces", "the collector did not take spans: " + answer.error().message);
+    endpoint address;
+    if (!m_collector.empty() && parseEndpoint(m_collector, address)) {
+        const result<http_response> response = httpCallOnce(
+            address, {.method = "POST", .path = "/v1/traces", .body = text}, collectorTimeout);
+        if (!response)
+            logWarning("traces", "The collector did not accept spans: " + response.error().message);
     }
 }
 
--- a/trefoilrouter/src/span_exporter.h
+++ b/trefoilrouter/src/span_exporter.h
@@ -8,18 +8,18 @@
 
 namespace trefoil {
 
-/// Writes finished spans to a file or an OTLP/HTTP collector. Thread-safe.
+/// Exports finished spans as OTLP JSON to a file and an OTLP/HTTP collector. Thread-safe.
 class span_exporter
 {
 public:
     /// Appends to @p file and posts to @p collector ("address:port"); either may be empty.
     span_exporter(std::string instance, std::string file, std::string collector);
 
-    /// Whether anybody wants spans.
+    /// Returns whether a file or a collector is configured.
     bool isEnabled() const { return !m_file.empty() || !m_collector.empty(); }
-    /// Takes a finished span. Drops it when too many wait.
+    /// Queues a finished span for export; ignored if the exporter is not enabled.
     void add(span item);
-    /// Returns the child that writes.
+    /// Returns the supervised body that exports queued spans.
     child_body body();
 
 private:
--- a/trefoilrouter/src/verb_files.cpp
+++ b/trefoilrouter/src/table_files.cpp
@@ -1,4 +1,4 @@
-#include "verb_files.h"
+#include "table_files.h"
 
 #include <fstream>
 #include <sstream>
@@ -7,7 +7,7 @@
 
 namespace {
 
-/// Reads one table with @p read; adds what is wrong to @p found.
+/// Reads and parses one table with @p read; appends its errors to @p found.
 template <typename Table>
 std::optional<Table> readTable(const std::string &file, std::string &text, findings &found,
                                tl::expected<Table, findings> (*read)(std::string_view,
@@ -47,8 +47,9 @@
     if (!poolsFile.empty())
         tables.pools = readTable(poolsFile, tables.poolsText, tables.found, readPools);
     if (tables.routes && tables.pools) {
-        const findings dangling = checkJoin(*tables.routes, *tables.pools, routesFile);
-        tables.found.insert(tables.found.end(), dangling.begin(), dangling.end());
+        const findings danglingReferences = checkJoin(*tables.routes, *tables.pools, routesFile);
+        tables.found.insert(tables.found.end(), danglingReferences.begin(),
+                            danglingReferences.end());
     }
     return tables;
 }
--- a/trefoilrouter/src/verb_files.h
+++ b/trefoilrouter/src/table_files.h
@@ -8,10 +8,10 @@
 
 namespace trefoil {
 
-/// Returns the text of the file. Error: "no-file". Thread-safe.
+/// Returns the content of file @p name. Error: "no-file". Thread-safe.
 result<std::string> readFile(const std::string &name);
 
-/// Both tables as files hold them, with everything that is wrong with them.
+/// The routes and pools tables read from files, and all findings.
 struct table_files
 {
     std::string routesText;
@@ -21,8 +21,8 @@
     findings found;
 };
 
-/// Reads and checks the tables in the files named; an empty name leaves one out. Names are joined
-/// only when both are given. Thread-safe.
+/// Reads and checks the given tables; an empty file name skips a table. References between the
+/// tables are checked only if both are given. Thread-safe.
 table_files readTableFiles(const std::string &routesFile, const std::string &poolsFile);
 
 } // namespace trefoil
--- a/trefoilrouter/src/verb_apply.cpp
+++ b/trefoilrouter/src/verb_apply.cpp
@@ -4,8 +4,8 @@
 
 #include <control/configuration_store.h>
 
-#include "http_platform.h"
-#include "verb_files.h"
+#include "http_object_store.h"
+#include "table_files.h"
 
 namespace trefoil {
 
@@ -13,8 +13,8 @@
 
 constexpr double operatorCallsPerSecond = 50;
 
-/// Writes one table over the version that was read before the checks, so that of two operators who
-/// race one is told.
+/// Writes one table if its stored version is still @p expected, the version read before the checks.
+/// Of two operators who apply concurrently, one gets a conflict.
 bool applyTable(object_store &platform, const std::string &name, const std::string &text,
                 std::uint64_t expected)
 {
@@ -29,7 +29,7 @@
     return false;
 }
 
-/// Reads the object or, where it does not exist, an empty one of version 0.
+/// Returns the object, or an empty one with version 0 if it does not exist.
 result<object> readOrEmpty(object_store &platform, const std::string &name)
 {
     result<object> found = platform.get(name);
@@ -42,8 +42,8 @@
 
 int runApply(const apply_options &options)
 {
-    endpoint place;
-    if (!parseEndpoint(options.platform, place)) {
+    endpoint address;
+    if (!parseEndpoint(options.platform, address)) {
         std::cerr << "apply: --platform must be a numeric address and port\n";
         return ExitUsage;
     }
@@ -52,33 +52,35 @@
         return ExitUsage;
     }
     table_files tables = readTableFiles(options.routesFile, options.poolsFile);
-    http_platform platform(place, operatorCallsPerSecond);
+    http_object_store platform(address, operatorCallsPerSecond);
     const result<object> routes = readOrEmpty(platform, config_names::routes);
     const result<object> pools = readOrEmpty(platform, config_names::pools);
     if (!routes || !pools) {
         std::cerr << "apply: " << (routes ? pools.error() : routes.error()).message << "\n";
         return ExitFailed;
     }
-    // The table that is not given is the one in the platform: names must join with that.
+    // If only one table is given, its references are checked against the other one as stored.
     if (options.routesFile.empty() || options.poolsFile.empty()) {
-        const tl::expected<route_table, findings> otherRoutes =
+        const tl::expected<route_table, findings> storedRoutes =
             readRoutes(routes->value, config_names::routes);
-        const tl::expected<pool_table, findings> otherPools =
+        const tl::expected<pool_table, findings> storedPools =
             readPools(pools->value, config_names::pools);
-        const bool missesRoutes = options.routesFile.empty() && routes->version > 0 && otherRoutes;
-        const bool missesPools = options.poolsFile.empty() && pools->version > 0 && otherPools;
-        findings dangling;
-        if (missesRoutes && tables.pools)
-            dangling = checkJoin(*otherRoutes, *tables.pools, options.poolsFile);
-        if (missesPools && tables.routes)
-            dangling = checkJoin(*tables.routes, *otherPools, options.routesFile);
-        tables.found.insert(tables.found.end(), dangling.begin(), dangling.end());
+        const bool usesStoredRoutes =
+            options.routesFile.empty() && routes->version > 0 && storedRoutes;
+        const bool usesStoredPools = options.poolsFile.empty() && pools->version > 0 && storedPools;
+        findings danglingReferences;
+        if (usesStoredRoutes && tables.pools)
+            danglingReferences = checkJoin(*storedRoutes, *tables.pools, options.poolsFile);
+        if (usesStoredPools && tables.routes)
+            danglingReferences = checkJoin(*tables.routes, *storedPools, options.routesFile);
+        tables.found.insert(tables.found.end(), danglingReferences.begin(),
+                            danglingReferences.end());
     }
     if (!tables.found.empty()) {
         std::cerr << toString(tables.found);
         return ExitUsage;
     }
-    // Pools first: a route must not name a pool that is not there yet.
+    // Pools first: a route must not refer to a pool that does not exist yet.
     bool done = true;
     if (!options.poolsFile.empty())
         done = applyTable(platform, config_names::pools, tables.poolsText, pools->version);
--- a/trefoilrouter/src/verb_check.cpp
+++ b/trefoilrouter/src/verb_check.cpp
@@ -1,4 +1,4 @@
-#include "verb_files.h"
+#include "table_files.h"
 #include "verbs.h"
 
 #include <iostream>
--- a/trefoilrouter/src/verb_edge.cpp
+++ b/trefoilrouter/src/verb_edge.cpp
@@ -8,7 +8,7 @@
 #include <telemetry/log.h>
 
 #include "edge/edge_instance.h"
-#include "verb_files.h"
+#include "table_files.h"
 
 namespace trefoil {
 
@@ -30,7 +30,7 @@
         std::cerr << toString(settings.error());
         return ExitUsage;
     }
-    // Blocked in every thread, so that only the instance's own thread takes them.
+    // Blocked in every thread, so that only the instance's signal wait receives them.
     sigset_t signals;
     sigemptyset(&signals);
     sigaddset(&signals, SIGTERM);
--- a/trefoilrouter/src/verb_explain.cpp
+++ b/trefoilrouter/src/verb_explain.cpp
@@ -12,13 +12,13 @@
 
 namespace {
 
-/// Beliefs about a server are shown from this long before the request reached it: the time within
-/// which entries, reports and probes change them.
-constexpr std::int64_t beliefWindowMs = 5000;
+/// Events about a request's servers are included from this long before the request on. Entries,
+/// reports and probes update the state of a server within this time.
+constexpr std::int64_t contextWindowMs = 5000;
 
-/// Takes log lines that are JSON objects; a prefix before the object, as log collectors add, is
-/// skipped.
-void takeLines(std::istream &input, std::vector<Json::Value> &lines)
+/// Appends the log lines that contain a JSON object to @p records. A prefix before the object, as
+/// added by log collectors, is skipped.
+void readLogRecords(std::istream &input, std::vector<Json::Value> &records)
 {
     std::string text;
     while (std::getline(input, text)) {
@@ -27,49 +27,52 @@
             continue;
         result<Json::Value> value = parseJson(std::string_view(text).substr(start), "a log line");
         if (value && value->isObject() && (*value)["time_ms"].isInt64())
-            lines.push_back(std::move(*value));
+            records.push_back(std::move(*value));
     }
 }
 
-std::int64_t timeOf(const Json::Value &line) { return line["time_ms"].asInt64(); }
+std::int64_t timeOf(const Json::Value &record) { return record["time_ms"].asInt64(); }
 
-/// Returns the lines of @p request, and those that changed what was believed of its servers shortly
-/// before it used them.
-std::vector<Json::Value> storyOf(const std::vector<Json::Value> &lines, const std::string &request)
+/// Returns, sorted by time, the records of @p request and the records shortly before and during it
+/// that concern its servers or the dependencies of its instances.
+std::vector<Json::Value> buildTimeline(const std::vector<Json::Value> &records,
+                                       const std::string &request)
 {
-    std::vector<Json::Value> story;
+    std::vector<Json::Value> timeline;
     std::set<std::string> servers;
     std::set<std::string> instances;
     std::int64_t first = 0;
     std::int64_t last = 0;
-    for (const Json::Value &line : lines) {
-        if (textOr(line, "request") != request)
+    for (const Json::Value &record : records) {
+        if (textOr(record, "request") != request)
             continue;
-        first = story.empty() ? timeOf(line) : std::min(first, timeOf(line));
-        last = std::max(last, timeOf(line));
-        instances.insert(textOr(line, "instance"));
-        if (!textOr(line, "server").empty())
-            servers.insert(textOr(line, "server"));
-        story.push_back(line);
+        first = timeline.empty() ? timeOf(record) : std::min(first, timeOf(record));
+        last = std::max(last, timeOf(record));
+        instances.insert(textOr(record, "instance"));
+        if (!textOr(record, "server").empty())
+            servers.insert(textOr(record, "server"));
+        timeline.push_back(record);
     }
-    if (story.empty())
-        return story;
-    for (const Json::Value &line : lines) {
-        const bool isBelief = !line.isMember("request") && servers.contains(textOr(line, "server"));
-        const bool isDependency = textOr(line, "event").starts_with("dependency_")
-            && instances.contains(textOr(line, "instance"));
-        const bool isNear = timeOf(line) >= first - beliefWindowMs && timeOf(line) <= last;
-        if ((isBelief || isDependency) && isNear)
-            story.push_back(line);
+    if (timeline.empty())
+        return timeline;
+    for (const Json::Value &record : records) {
+        const bool isServerEvent =
+            !record.isMember("request") && servers.contains(textOr(record, "server"));
+        const bool isDependencyEvent = textOr(record, "event").starts_with("dependency_")
+            && instances.contains(textOr(record, "instance"));
+        const bool isWithinWindow =
+            timeOf(record) >= first - contextWindowMs && timeOf(record) <= last;
+        if ((isServerEvent || isDependencyEvent) && isWithinWindow)
+            timeline.push_back(record);
     }
-    std::stable_sort(story.begin(), story.end(),
+    std::stable_sort(timeline.begin(), timeline.end(),
                      [](const Json::Value &left, const Json::Value &right) {
                          return timeOf(left) < timeOf(right);
                      });
-    return story;
+    return timeline;
 }
 
-std::string shown(const Json::Value &value)
+std::string formatValue(const Json::Value &value)
 {
     if (value.isString())
         return value.asString();
@@ -77,16 +80,16 @@
     return value.isDouble() && !isWhole ? formatNumber(value.asDouble(), 1) : writeJson(value);
 }
 
-void printText(const std::vector<Json::Value> &story)
+void printText(const std::vector<Json::Value> &timeline)
 {
-    const std::int64_t start = timeOf(story.front());
-    for (const Json::Value &line : story) {
-        std::cout << "+" << timeOf(line) - start << " ms  " << textOr(line, "instance") << "  "
-                  << textOr(line, "part") << " " << textOr(line, "event");
-        for (auto it = line.begin(); it != line.end(); ++it) {
+    const std::int64_t start = timeOf(timeline.front());
+    for (const Json::Value &record : timeline) {
+        std::cout << "+" << timeOf(record) - start << " ms  " << textOr(record, "instance") << "  "
+                  << textOr(record, "part") << " " << textOr(record, "event");
+        for (auto it = record.begin(); it != record.end(); ++it) {
             const std::string name = it.name();
             if (name != "time_ms" && name != "instance" && name != "part" && name != "event")
-                std::cout << "  " << name << "=" << shown(*it);
+                std::cout << "  " << name << "=" << formatValue(*it);
         }
         std::cout << "\n";
     }
@@ -100,29 +103,29 @@
         std::cerr << "explain: give a request's id\n";
         return ExitUsage;
     }
-    std::vector<Json::Value> lines;
+    std::vector<Json::Value> records;
     for (const std::string &name : options.files) {
         std::ifstream file(name);
         if (!file) {
             std::cerr << "explain: can't read \"" << name << "\"\n";
             return ExitUsage;
         }
-        takeLines(file, lines);
+        readLogRecords(file, records);
     }
     if (options.files.empty())
-        takeLines(std::cin, lines);
-    const std::vector<Json::Value> story = storyOf(lines, options.request);
-    if (story.empty()) {
+        readLogRecords(std::cin, records);
+    const std::vector<Json::Value> timeline = buildTimeline(records, options.request);
+    if (timeline.empty()) {
         std::cerr << "explain: no line names request \"" << options.request << "\"\n";
         return ExitFailed;
     }
     if (options.format == print_format::Text) {
-        printText(story);
+        printText(timeline);
         return ExitOk;
     }
     Json::Value list(Json::arrayValue);
-    for (const Json::Value &line : story)
-        list.append(line);
+    for (const Json::Value &record : timeline)
+        list.append(record);
     std::cout << writeJson(list) << "\n";
     return ExitOk;
 }
--- a/trefoilrouter/src/verb_keys.cpp
+++ b/trefoilrouter/src/verb_keys.cpp
@@ -8,7 +8,7 @@
 #include <core/json.h>
 #include <core/report.h>
 
-#include "http_platform.h"
+#include "http_object_store.h"
 
 namespace trefoil {
 
@@ -16,18 +16,18 @@
 
 constexpr double operatorCallsPerSecond = 50;
 
-/// Random bytes of a key, written as twice as many digits.
+/// Random bytes of a key; the key has two hexadecimal digits for each.
 constexpr int keyBytes = 24;
 
-/// Digits of the digest that lists show and that withdraw needs at least.
-constexpr std::size_t shownDigits = 12;
+/// Number of digest digits that "keys list" prints and the minimum for "keys withdraw".
+constexpr std::size_t digestPrefixDigits = 12;
 
-/// Tries of a conditional update against other operators.
-constexpr int maxTries = 5;
+/// Maximum attempts of a conditional update that conflicts with other writers.
+constexpr int maxAttempts = 5;
 
-std::string newKey()
+std::string generateKey()
 {
-    // std::random_device reads the kernel's generator here.
+    // On Linux, std::random_device uses the kernel's random number generator.
     std::random_device source;
     constexpr std::string_view digits = "0123456789abcdef";
     std::string key = "tfk_";
@@ -36,12 +36,12 @@
     return key;
 }
 
-/// Applies @p change to the key object @p name until no other operator interferes. @p change
-/// returns false where there is nothing to change.
+/// Applies @p change to the key object @p name by conditional update, and retries on conflicts.
+/// @p change returns false if there is nothing to change.
 template <typename Change>
 result<void> updateKeys(object_store &platform, const std::string &name, const Change &change)
 {
-    for (int attempt = 0; attempt < maxTries; ++attempt) {
+    for (int attempt = 0; attempt < maxAttempts; ++attempt) {
         const result<object> current = platform.get(name);
         if (!current && current.error().code != platform_errors::notFound)
             return tl::unexpected(current.error());
@@ -61,7 +61,7 @@
     return failure("conflict", "other operators kept changing the keys");
 }
 
-int issue(object_store &platform, const keys_options &options)
+int issueKey(object_store &platform, const keys_options &options)
 {
     if (options.team.empty()) {
         std::cerr << "keys issue: give --team\n";
@@ -75,7 +75,7 @@
                   << "\" does not exist in the routes table\n";
         return ExitFailed;
     }
-    const std::string key = newKey();
+    const std::string key = generateKey();
     const std::string digest = keyDigest(key);
     const result<void> done =
         updateKeys(platform, keyObjectName(digest), [&](std::vector<key_entry> &keys) {
@@ -86,12 +86,13 @@
         std::cerr << "keys issue: " << done.error().message << "\n";
         return ExitFailed;
     }
-    std::cerr << "issued; this key is shown once, digest " << digest.substr(0, shownDigits) << "\n";
+    std::cerr << "issued; this key is shown once, digest " << digest.substr(0, digestPrefixDigits)
+              << "\n";
     std::cout << key << "\n";
     return ExitOk;
 }
 
-int list(object_store &platform, const keys_options &options)
+int listKeys(object_store &platform, const keys_options &options)
 {
     const result<std::vector<object>> objects = platform.list(config_names::keysPrefix);
     if (!objects) {
@@ -109,7 +110,7 @@
         for (const key_entry &each : *keys) {
             if (!options.team.empty() && each.team != options.team)
                 continue;
-            table.add({each.digest.substr(0, shownDigits), each.team, each.name});
+            table.add({each.digest.substr(0, digestPrefixDigits), each.team, each.name});
             Json::Value entry(Json::objectValue);
             entry["digest"] = each.digest;
             entry["team"] = each.team;
@@ -121,10 +122,11 @@
     return ExitOk;
 }
 
-int withdraw(object_store &platform, const keys_options &options)
+int withdrawKeys(object_store &platform, const keys_options &options)
 {
-    if (options.digest.size() < shownDigits) {
-        std::cerr << "keys withdraw: give --digest with at least " << shownDigits << " digits\n";
+    if (options.digest.size() < digestPrefixDigits) {
+        std::cerr << "keys withdraw: give --digest with at least " << digestPrefixDigits
+                  << " digits\n";
         return ExitUsage;
     }
     const result<void> done =
@@ -147,18 +149,18 @@
 
 int runKeys(const keys_options &options)
 {
-    endpoint place;
-    if (!parseEndpoint(options.platform, place)) {
+    endpoint address;
+    if (!parseEndpoint(options.platform, address)) {
         std::cerr << "keys: --platform must be a numeric address and port\n";
         return ExitUsage;
     }
-    http_platform platform(place, operatorCallsPerSecond);
+    http_object_store platform(address, operatorCallsPerSecond);
     if (options.action == "issue")
-        return issue(platform, options);
+        return issueKey(platform, options);
     if (options.action == "list")
-        return list(platform, options);
+        return listKeys(platform, options);
     if (options.action == "withdraw")
-        return withdraw(platform, options);
+        return withdrawKeys(platform, options);
     std::cerr << "keys: \"" << options.action << "\" is not one of issue, list, withdraw\n";
     return ExitUsage;
 }
--- a/trefoilrouter/src/verb_serve.cpp
+++ b/trefoilrouter/src/verb_serve.cpp
@@ -9,13 +9,13 @@
 #include <telemetry/log.h>
 
 #include "instance.h"
-#include "verb_files.h"
+#include "table_files.h"
 
 namespace trefoil {
 
 namespace {
 
-/// How soon the signal thread notices that the instance ended by itself.
+/// How often the signal thread checks whether the instance has ended by itself.
 constexpr long signalCheckNanoseconds = 100'000'000;
 
 sigset_t stopSignals()
@@ -48,15 +48,15 @@
     startLog({.least = logLevelNamed(read->logLevel),
               .asJson = read->logAsJson,
               .instance = read->name});
-    // Blocked in every thread, so that only the one below takes them.
+    // Blocked in every thread, so that only the signal thread below receives them.
     const sigset_t set = stopSignals();
     pthread_sigmask(SIG_BLOCK, &set, nullptr);
     std::signal(SIGPIPE, SIG_IGN);
     std::stop_source stop;
     std::jthread signals([&](const std::stop_token &ended) {
-        const timespec patience {.tv_sec = 0, .tv_nsec = signalCheckNanoseconds};
+        const timespec timeout {.tv_sec = 0, .tv_nsec = signalCheckNanoseconds};
         while (!ended.stop_requested()) {
-            if (sigtimedwait(&set, nullptr, &patience) > 0) {
+            if (sigtimedwait(&set, nullptr, &timeout) > 0) {
                 stop.request_stop();
                 return;
             }
--- a/trefoilrouter/src/verb_status.cpp
+++ b/trefoilrouter/src/verb_status.cpp
@@ -13,7 +13,7 @@
 
 constexpr duration statusTimeout = std::chrono::seconds(3);
 
-std::string joined(const Json::Value &names)
+std::string joinNames(const Json::Value &names)
 {
     std::string text;
     for (const Json::Value &name : names)
@@ -29,7 +29,7 @@
     for (const std::string &name : tables.getMemberNames())
         configuration.add({name, tables[name]["newest"].asString(),
                            tables[name]["in_force_everywhere"].asString(),
-                           joined(tables[name]["lagging"])});
+                           joinNames(tables[name]["lagging"])});
     report_table members("members", {"name", "zone", "callers", "state"});
     for (const Json::Value &each : report["members"])
         members.add({textOr(each, "name"), textOr(each, "zone"), textOr(each, "callers"),
@@ -53,18 +53,19 @@
 
 int runStatus(const status_options &options)
 {
-    endpoint place;
-    if (!parseEndpoint(options.instance, place)) {
+    endpoint address;
+    if (!parseEndpoint(options.instance, address)) {
         std::cerr << "status: --instance must be the numeric address and port of an operators' "
                      "listener\n";
         return ExitUsage;
     }
-    const result<http_answer> answer = httpCallOnce(place, {.path = "/status"}, statusTimeout);
-    if (!answer || answer->status != 200) {
+    const result<http_response> response =
+        httpCallOnce(address, {.path = "/status"}, statusTimeout);
+    if (!response || response->status != 200) {
         std::cerr << "status: instance " << options.instance << " does not answer\n";
         return ExitFailed;
     }
-    const result<Json::Value> report = parseJson(answer->body, "the status");
+    const result<Json::Value> report = parseJson(response->body, "the status");
     if (!report) {
         std::cerr << "status: " << report.error().message << "\n";
         return ExitFailed;
--- a/trefoilrouter/src/verbs.h
+++ b/trefoilrouter/src/verbs.h
@@ -5,16 +5,16 @@
 
 namespace trefoil {
 
-/// Exit statuses of the program.
+/// Exit codes of the program.
 enum exit_status {
     ExitOk = 0,
-    /// The work could not be done.
+    /// The operation failed.
     ExitFailed = 1,
-    /// The command line or a document is wrong.
+    /// The command line, the settings or a table is invalid.
     ExitUsage = 2
 };
 
-/// How tables are printed.
+/// Output format.
 enum class print_format { Text, Json };
 
 /// Runs an instance until SIGTERM or SIGINT.
@@ -24,25 +24,25 @@
 };
 int runServe(const serve_options &options);
 
-/// Runs an entry instance on the users' platform until SIGTERM or SIGINT.
+/// Runs an entry instance that is hosted by an external platform until SIGTERM or SIGINT.
 struct edge_options
 {
-    /// The platform's settings file; empty to take the path from the environment.
+    /// Settings file provided by the platform; empty to take its path from the environment.
     std::string settingsFile;
 };
 int runEdge(const edge_options &options);
 
-/// Prints what the logs of several instances say of one request, in the order of time.
+/// Prints the log records of several instances that concern one request, sorted by time.
 struct explain_options
 {
     std::string request;
-    /// Log files; empty to read the standard input.
+    /// Log files; empty to read standard input.
     std::vector<std::string> files;
     print_format format = print_format::Text;
 };
 int runExplain(const explain_options &options);
 
-/// Checks documents and prints every finding. Empty names are not checked.
+/// Checks settings and tables and prints all findings. Files with an empty name are skipped.
 struct check_options
 {
     std::string settingsFile;
@@ -52,7 +52,7 @@
 };
 int runCheck(const check_options &options);
 
-/// Puts checked tables into the platform by conditional update.
+/// Checks tables and writes them to the platform by conditional update.
 struct apply_options
 {
     std::string platform;
@@ -61,7 +61,7 @@
 };
 int runApply(const apply_options &options);
 
-/// Prints what an instance reports.
+/// Prints the status report of an instance.
 struct status_options
 {
     /// "address:port" of an instance's operators' listener.
--- a/trefoilrouter/tests/backend_client_test.cpp
+++ b/trefoilrouter/tests/backend_client_test.cpp
@@ -12,16 +12,17 @@
 
 using namespace std::chrono_literals;
 
-/// Backend server that breaks off each connection without an answer to what it was sent, until its
-/// listener closes or for good.
-class breaking_server
+/// Backend server that closes each connection without responding to the request. Its listener
+/// closes some time after the first one.
+class disconnecting_server
 {
 public:
-    /// @p answersProbes tells whether it answers OPTIONS, as a living server does; its listener
-    /// stays open for @p openFor after the first connection that it broke.
-    breaking_server(bool answersProbes, duration openFor)
+    /// @p answersProbes: whether the server responds to OPTIONS, as a live server does.
+    /// @p listenerLifetime: how long it keeps listening after the first closed connection.
+    disconnecting_server(bool answersProbes, duration listenerLifetime)
         : m_socket(Poco::Net::SocketAddress("127.0.0.1", 0)), m_answersProbes(answersProbes),
-          m_openFor(openFor), m_thread([this](const std::stop_token &stop) { serve(stop); })
+          m_listenerLifetime(listenerLifetime),
+          m_thread([this](const std::stop_token &stop) { serve(stop); })
     { }
 
     endpoint address() const { return m_address; }
@@ -43,7 +44,7 @@
             }
             connection.close();
             if (!closesAt)
-                closesAt = boot_clock::now() + m_openFor;
+                closesAt = boot_clock::now() + m_listenerLifetime;
         }
         m_socket.close();
     }
@@ -51,11 +52,11 @@
     Poco::Net::ServerSocket m_socket;
     endpoint m_address {.host = "127.0.0.1", .port = m_socket.address().port()};
     bool m_answersProbes;
-    duration m_openFor;
+    duration m_listenerLifetime;
     std::jthread m_thread;
 };
 
-std::string failureOf(const breaking_server &server)
+std::string startErrorCode(const disconnecting_server &server)
 {
     backend_client client;
     const std::unique_ptr<backend_exchange> exchange = client.open(server.address(), false, 2s);
@@ -66,27 +67,29 @@
 
 } // namespace
 
-// Load: a request that ends the servers which run it, on a busy machine. The kernel closes the
-// sockets of a dying process one by one, the request's connection some time before the listener.
-TEST(BackendClient, DyingServerWhoseListenerStillAcceptsHasCrashed)
+// Guards against taking a crash for a connection loss. The kernel closes the sockets of an exiting
+// process one by one; on a busy machine the listener may outlive the request's connection for a
+// while.
+TEST(BackendClient, ReportsCrashWhenListenerClosesAfterConnection)
 {
-    const breaking_server server(false, 40ms);
-    EXPECT_EQ(failureOf(server), backend_errors::crashed);
+    const disconnecting_server server(false, 40ms);
+    EXPECT_EQ(startErrorCode(server), backend_errors::crashed);
 }
 
-TEST(BackendClient, ServerThatAnswersOthersHasCutTheConnection)
+TEST(BackendClient, ReportsConnectionLossWhenServerAnswersProbe)
 {
-    const breaking_server server(true, 5s);
+    const disconnecting_server server(true, 5s);
     const timestamp start = boot_clock::now();
-    EXPECT_EQ(failureOf(server), backend_errors::cut);
-    EXPECT_LT(boot_clock::now() - start, 150ms) << "a living server is recognised at once";
+    EXPECT_EQ(startErrorCode(server), backend_errors::connectionLost);
+    EXPECT_LT(boot_clock::now() - start, 150ms)
+        << "a response to the probe ends the probing immediately";
 }
 
-// A server at its limit of connections resets each new one: that is no crash.
-TEST(BackendClient, ServerThatResetsEveryConnectionHasNotCrashed)
+// A server at its connection limit resets each new connection, which must not count as a crash.
+TEST(BackendClient, ReportsConnectionLossWhenServerKeepsResettingConnections)
 {
-    const breaking_server server(false, 5s);
-    EXPECT_EQ(failureOf(server), backend_errors::cut);
+    const disconnecting_server server(false, 5s);
+    EXPECT_EQ(startErrorCode(server), backend_errors::connectionLost);
 }
 
 } // namespace trefoil
--- a/trefoilrouter/tests/chat_request_test.cpp
+++ b/trefoilrouter/tests/chat_request_test.cpp
@@ -12,17 +12,17 @@
     return readChatRequest(body);
 }
 
-std::string joined(const body_pieces &pieces)
+std::string concatenated(const body_segments &body)
 {
     std::string text;
-    for (const std::string_view piece : pieces.pieces)
-        text += piece;
+    for (const std::string_view segment : body.segments)
+        text += segment;
     return text;
 }
 
 } // namespace
 
-TEST(ChatRequest, ReadsWhatRoutingNeeds)
+TEST(ChatRequest, ParsesFieldsUsedForRouting)
 {
     std::string body = R"({"model":"terms","stream":true,"max_tokens":7,"messages":[)"
                        R"({"role":"system","content":"long terms"},)"
@@ -37,43 +37,43 @@
                                               "\"a question\""}));
 }
 
-TEST(ChatRequest, NamesWhatIsWrong)
+TEST(ChatRequest, RejectsInvalidBodies)
 {
     std::string noModel = R"({"messages":[{"role":"user","content":"x"}]})";
     EXPECT_EQ(read(noModel).error().message, "field \"model\" is missing");
     std::string noPrompt = R"({"model":"m"})";
     EXPECT_EQ(read(noPrompt).error().code, "bad-request");
-    std::string cut = R"({"model":"m","messages":[)";
-    EXPECT_EQ(read(cut).error().code, "bad-json");
-    std::string text = "hello";
-    EXPECT_EQ(read(text).error().code, "bad-json");
+    std::string truncated = R"({"model":"m","messages":[)";
+    EXPECT_EQ(read(truncated).error().code, "bad-json");
+    std::string notObject = "hello";
+    EXPECT_EQ(read(notObject).error().code, "bad-json");
     std::string empty;
     EXPECT_EQ(read(empty).error().code, "bad-json");
-    std::string more = R"({"model":"m","prompt":"x"} {"model":"n"})";
-    EXPECT_EQ(read(more).error().code, "bad-json");
+    std::string trailing = R"({"model":"m","prompt":"x"} {"model":"n"})";
+    EXPECT_EQ(read(trailing).error().code, "bad-json");
 }
 
-TEST(ChatRequest, ReplacesTheModelAndSetsTheLimitWithoutJoining)
+TEST(ChatRequest, ReplacesModelAndInsertsMaxTokens)
 {
     std::string body = R"({ "prompt" : "p", "model" : "terms" , "stream":false})";
     const result<chat_request> request = read(body);
     ASSERT_TRUE(request.has_value());
-    body_pieces pieces;
-    makeBackendBody(body, *request, "terms-7b", 50, pieces);
-    EXPECT_EQ(joined(pieces),
+    body_segments backendBody;
+    makeBackendBody(body, *request, "terms-7b", 50, backendBody);
+    EXPECT_EQ(concatenated(backendBody),
               R"({"max_tokens":50, "prompt" : "p", "model" : "terms-7b" , "stream":false})");
-    makeBackendBody(body, *request, "", 50, pieces);
-    EXPECT_EQ(joined(pieces),
+    makeBackendBody(body, *request, "", 50, backendBody);
+    EXPECT_EQ(concatenated(backendBody),
               R"({"max_tokens":50, "prompt" : "p", "model" : "terms" , "stream":false})");
 }
 
-TEST(ChatRequest, ChainsDifferByTeam)
+TEST(ChatRequest, PrefixChainDependsOnTeam)
 {
     std::string body = R"({"model":"m","prompt":")" + std::string(40000, 'x') + R"("})";
     const result<chat_request> request = read(body);
     ASSERT_TRUE(request.has_value());
-    EXPECT_EQ(chainOf(*request, "reef").blocks.size(), 2u);
-    EXPECT_NE(chainOf(*request, "reef").blocks, chainOf(*request, "dune").blocks);
+    EXPECT_EQ(buildPrefixChain(*request, "reef").blocks.size(), 2u);
+    EXPECT_NE(buildPrefixChain(*request, "reef").blocks, buildPrefixChain(*request, "dune").blocks);
 }
 
 } // namespace trefoil
