--- a/standins/src/standin_server.cpp
+++ b/standins/src/standin_server.cpp
@@ -64,9 +64,9 @@
     pthread_sigmask(SIG_BLOCK, &signals, nullptr);
     std::signal(SIGPIPE, SIG_IGN);
     const child_body listener =
-        httpListener({.place = address,
-                      .threads = threads,
-                      .factory = new function_handler_factory(std::move(handler))});
+        makeHttpListener({.address = address,
+                          .threads = threads,
+                          .factory = new function_handler_factory(std::move(handler))});
     std::jthread server([&](const std::stop_token &stop) {
         const result<void> end = listener(stop);
         if (!end) {
--- a/trefoilrouter/src/edge/caller_session.cpp
+++ b/trefoilrouter/src/edge/caller_session.cpp
@@ -224,7 +224,7 @@
 child_body callerListener(edge_state &state, server_connection_pool &connections,
                           const endpoint &address)
 {
-    return listenerChild(address, [&state, &connections, address](const std::stop_token &stop) {
+    return makeListenerChild(address, [&state, &connections, address](const std::stop_token &stop) {
         Poco::Net::TCPServerParams::Ptr params = new Poco::Net::TCPServerParams;
         params->setMaxThreads(maxConnections);
         params->setMaxQueued(backlog);
