--- a/libs/dispatch/include/dispatch/duty_lease.h
+++ b/libs/dispatch/include/dispatch/leader_lease.h
@@ -13,7 +13,7 @@
 
 /// Store object that names the holder of a duty, one for each duty. It is changed only by
 /// conditional updates, so that the store decides between candidates.
-struct duty_record
+struct leader_record
 {
     std::string holder;
     /// Fencing token: incremented with each take-over and sent with each order.
@@ -29,16 +29,16 @@
     /// "model=version". Preserves the times when all instances restart together.
     std::map<std::string, std::uint64_t, std::less<>> namedAtMs;
 
-    bool operator==(const duty_record &) const = default;
+    bool operator==(const leader_record &) const = default;
 };
 
 /// Serializes @p record for the store. Thread-safe.
-std::string toText(const duty_record &record);
+std::string toText(const leader_record &record);
 /// Parses the output of toText(). Returns nothing if @p text is malformed. Thread-safe.
-std::optional<duty_record> parseDutyRecord(std::string_view text);
+std::optional<leader_record> parseLeaderRecord(std::string_view text);
 
 /// Options of a duty lease.
-struct duty_lease_options
+struct leader_lease_options
 {
     /// Name of this instance.
     std::string self;
@@ -61,7 +61,7 @@
 };
 
 /// Next call to the store.
-enum class duty_step { None, Read, Write };
+enum class store_call { None, Read, Write };
 
 /// Lease on a duty, kept in one object of the store: a pure state machine. The holder stops acting
 /// before another instance can take over, whether or not its renewals reached the store. A
@@ -70,24 +70,24 @@
 ///
 /// Precondition of all methods: times do not decrease, and the clock advances while the machine is
 /// suspended.
-class duty_lease
+class leader_lease
 {
 public:
-    explicit duty_lease(const duty_lease_options &options) : m_options(options) { }
+    explicit leader_lease(const leader_lease_options &options) : m_options(options) { }
 
     /// Returns the next call to make. @p rank is the number of live instances ordered before this
-    /// one. @p isHolderAlive tells that the known holder, or any holder while none is known, was
+    /// one. @p isLeaderAlive tells that the known holder, or any holder while none is known, was
     /// heard recently; the record is not read then. @p mayHold is false for an instance that is
     /// leaving.
-    duty_step next(timestamp now, int rank, bool isHolderAlive, bool mayHold);
+    store_call next(timestamp now, int rank, bool isLeaderAlive, bool mayHold);
     /// Returns whether the record has been read or written.
     bool isKnown() const { return m_isKnown; }
     /// Takes the result of a read: the record and its revision, or nothing if there is no record.
-    void onRead(timestamp now, const std::optional<duty_record> &record, std::uint64_t revision);
+    void onRead(timestamp now, const std::optional<leader_record> &record, std::uint64_t revision);
     /// Returns the record to write over revision(). Call when next() returns Write; the lease
     /// counts from @p now. With @p release the duty is released. Precondition then: no order is in
     /// flight.
-    duty_record startWrite(timestamp now, bool release);
+    leader_record startWrite(timestamp now, bool release);
     /// Takes the result of the write that startWrite() began: the new revision, or nothing if the
     /// write was not acknowledged. @p knowsOrders tells that the reports of the previous holder
     /// were heard, so that each server it may have sent an order to is known.
@@ -100,19 +100,19 @@
     /// Returns the epoch of the last known record: that of this instance's lease while holds().
     std::uint64_t epoch() const { return m_record.epoch; }
     /// Returns the last known record.
-    const duty_record &record() const { return m_record; }
+    const leader_record &record() const { return m_record; }
     /// Returns the revision of the last known record, 0 if there is none.
     std::uint64_t revision() const { return m_revision; }
 
 private:
     bool isOwn() const { return m_isHeld && m_record.holder == m_options.self; }
 
-    duty_lease_options m_options;
-    duty_record m_record;
+    leader_lease_options m_options;
+    leader_record m_record;
     std::uint64_t m_revision = 0;
     bool m_isKnown = false;
     /// Time since which no holder has been heard.
-    std::optional<timestamp> m_noHolderSince;
+    std::optional<timestamp> m_noLeaderSince;
     bool m_isHeld = false;
     /// The record names this instance but dates from before a restart or an expired lease.
     bool m_isOwnEarlierRecord = false;
@@ -126,7 +126,7 @@
     timestamp m_actsFrom;
     /// Time at which the quiet time after the previous holder's lease ends.
     timestamp m_settledFrom;
-    duty_record m_writing;
+    leader_record m_writing;
 };
 
 } // namespace trefoil
--- a/libs/dispatch/include/dispatch/member_table.h
+++ b/libs/dispatch/include/dispatch/member_table.h
@@ -54,7 +54,7 @@
     /// A duty holder that is not heard for this time plus report_timeout::growth() may be
     /// succeeded: about three report periods. Short, because the successor checks with the store
     /// first.
-    duration holderTimeout = std::chrono::milliseconds(650);
+    duration leaderTimeout = std::chrono::milliseconds(650);
     /// Callers are sent to all zones if their own zone has fewer live instances than this.
     std::size_t minInZone = 2;
     /// Callers are sent to instances with at least this share of the largest instance's capacity.
@@ -90,7 +90,7 @@
     /// Records a report of @p name, which announces its next report after @p period. Returns false
     /// if @p name isn't listed or the report is not newer than the last one.
     bool noteReport(timestamp now, std::string_view name, std::uint64_t incarnation,
-                    std::uint64_t sequence, bool isLeaving, std::uint64_t dutyEpoch,
+                    std::uint64_t sequence, bool isLeaving, std::uint64_t leaderEpoch,
                     duration period = {});
     /// Records the scheduling delay of @p name, which may be this instance: the time that its
     /// threads wait for a processor.
@@ -120,13 +120,13 @@
     /// Returns whether this instance is listed; rank() is meaningful only then.
     bool isSelfListed() const;
     /// Returns whether any instance reported recently that it holds a duty.
-    bool isHolderHeard(timestamp now) const;
+    bool isAnyLeaderHeard(timestamp now) const;
     /// Returns whether @p name reported recently that it holds a duty with @p epoch.
-    bool holdsDuty(timestamp now, std::string_view name, std::uint64_t epoch) const;
+    bool isLeaderHeard(timestamp now, std::string_view name, std::uint64_t epoch) const;
 
     /// Returns whether the last report of @p name, however old, said that it holds a duty with
     /// @p epoch.
-    bool reportedDuty(std::string_view name, std::uint64_t epoch) const;
+    bool reportedLeadership(std::string_view name, std::uint64_t epoch) const;
 
     /// Returns the addresses of the instances that a caller in @p zone is to use. @p isSelfUsable
     /// tells whether this instance accepts callers.
@@ -140,7 +140,7 @@
         std::uint64_t incarnation = 0;
         std::uint64_t sequence = 0;
         bool isLeaving = false;
-        std::uint64_t dutyEpoch = 0;
+        std::uint64_t leaderEpoch = 0;
         duration delay {};
         /// Announced time until the next report.
         duration period {};
--- a/libs/dispatch/include/dispatch/peer_report.h
+++ b/libs/dispatch/include/dispatch/peer_report.h
@@ -67,7 +67,7 @@
     /// answer.
     std::optional<std::uint64_t> storeHeardAgoMs;
     /// Epoch of the duty that the instance holds, 0 for none.
-    std::uint64_t dutyEpoch = 0;
+    std::uint64_t leaderEpoch = 0;
     std::vector<release_outcomes> releases;
     /// Start epochs of the KV-cache stores by address, 0 for a store that doesn't answer. Filled by
     /// the duty holder, which polls the stores; empty in reports of other instances.
--- a/libs/dispatch/src/duty_lease.cpp
+++ b/libs/dispatch/src/leader_lease.cpp
@@ -1,4 +1,4 @@
-#include <dispatch/duty_lease.h>
+#include <dispatch/leader_lease.h>
 
 #include <core/json.h>
 
@@ -15,7 +15,7 @@
 
 } // namespace
 
-std::string toText(const duty_record &record)
+std::string toText(const leader_record &record)
 {
     Json::Value value(Json::objectValue);
     value["holder"] = record.holder;
@@ -29,16 +29,16 @@
     return writeJson(value);
 }
 
-std::optional<duty_record> parseDutyRecord(std::string_view text)
+std::optional<leader_record> parseLeaderRecord(std::string_view text)
 {
     const result<Json::Value> value = parseJson(text, "duty record");
     if (!value || !value->isObject() || !(*value)["holder"].isString())
         return std::nullopt;
-    duty_record record {.holder = textOr(*value, "holder"),
-                        .epoch = integerOr(*value, "epoch"),
-                        .renewal = integerOr(*value, "renewal"),
-                        .isReleased = flagOr(*value, "released"),
-                        .isSettled = flagOr(*value, "settled")};
+    leader_record record {.holder = textOr(*value, "holder"),
+                          .epoch = integerOr(*value, "epoch"),
+                          .renewal = integerOr(*value, "renewal"),
+                          .isReleased = flagOr(*value, "released"),
+                          .isSettled = flagOr(*value, "settled")};
     const Json::Value &named = (*value)["named_at_ms"];
     if (named.isObject()) {
         for (auto it = named.begin(); it != named.end(); ++it) {
@@ -49,28 +49,28 @@
     return record;
 }
 
-duty_step duty_lease::next(timestamp now, int rank, bool isHolderAlive, bool mayHold)
+store_call leader_lease::next(timestamp now, int rank, bool isLeaderAlive, bool mayHold)
 {
     if (isOwn()) {
         if (m_mustRead)
-            return now - m_readAt >= retryInterval ? duty_step::Read : duty_step::None;
+            return now - m_readAt >= retryInterval ? store_call::Read : store_call::None;
         if (!mayHold)
-            return m_record.isReleased ? duty_step::None : duty_step::Write;
+            return m_record.isReleased ? store_call::None : store_call::Write;
         if (now < m_writeStartedAt + m_options.renewInterval)
-            return duty_step::None;
+            return store_call::None;
         // An expired lease may have been taken over: read before writing.
-        return now < m_heldUntil ? duty_step::Write : duty_step::Read;
+        return now < m_heldUntil ? store_call::Write : store_call::Read;
     }
-    if (!mayHold || isHolderAlive) {
-        m_noHolderSince.reset();
-        return duty_step::None;
+    if (!mayHold || isLeaderAlive) {
+        m_noLeaderSince.reset();
+        return store_call::None;
     }
     // Instances of low rank read first; in a large fleet the others hear of a holder before their
     // own delay ends.
-    if (!m_noHolderSince)
-        m_noHolderSince = now;
-    if (now - *m_noHolderSince < m_options.firstReadDelay * rank)
-        return duty_step::None;
+    if (!m_noLeaderSince)
+        m_noLeaderSince = now;
+    if (now - *m_noLeaderSince < m_options.firstReadDelay * rank)
+        return store_call::None;
     // No wait if the duty was released or never held, or if the record names this instance.
     const bool isFree = m_record.isReleased || m_record.holder.empty() || m_isOwnEarlierRecord;
     const duration leaseWait = isFree ? duration::zero() : m_options.leaseDuration + clockMargin;
@@ -78,14 +78,14 @@
     const bool isOver = m_isKnown && m_readAt - m_unchangedSince >= leaseWait
         && now - m_unchangedSince >= leaseWait + rankWait;
     if (isOver && now - m_readAt < readInterval)
-        return duty_step::Write;
-    return !m_isKnown || now - m_readAt >= readInterval ? duty_step::Read : duty_step::None;
+        return store_call::Write;
+    return !m_isKnown || now - m_readAt >= readInterval ? store_call::Read : store_call::None;
 }
 
-void duty_lease::onRead(timestamp now, const std::optional<duty_record> &record,
-                        std::uint64_t revision)
+void leader_lease::onRead(timestamp now, const std::optional<leader_record> &record,
+                          std::uint64_t revision)
 {
-    const duty_record seen = record.value_or(duty_record {});
+    const leader_record seen = record.value_or(leader_record {});
     m_readAt = now;
     m_mustRead = false;
     const bool isStillOwn = seen.holder == m_options.self && seen.epoch == m_record.epoch;
@@ -103,7 +103,7 @@
     m_isKnown = true;
 }
 
-duty_record duty_lease::startWrite(timestamp now, bool release)
+leader_record leader_lease::startWrite(timestamp now, bool release)
 {
     m_writeStartedAt = now;
     m_writing = m_record;
@@ -117,7 +117,7 @@
     return m_writing;
 }
 
-void duty_lease::onWritten(timestamp now, std::optional<std::uint64_t> revision, bool knowsOrders)
+void leader_lease::onWritten(timestamp now, std::optional<std::uint64_t> revision, bool knowsOrders)
 {
     if (!revision) {
         // The write may or may not have reached the store, or lost against another one: read before
@@ -127,7 +127,7 @@
         return;
     }
     const bool isTakeOver = !isOwn();
-    const duty_record before = m_record;
+    const leader_record before = m_record;
     m_record = m_writing;
     m_revision = *revision;
     m_isHeld = true;
@@ -150,11 +150,11 @@
     m_actsFrom = knowsOrders && !m_isOwnEarlierRecord ? now : m_settledFrom;
 }
 
-bool duty_lease::holds(timestamp now) const
+bool leader_lease::holds(timestamp now) const
 {
     return isOwn() && !m_record.isReleased && now < m_heldUntil;
 }
 
-bool duty_lease::mayAct(timestamp now) const { return holds(now) && now >= m_actsFrom; }
+bool leader_lease::mayAct(timestamp now) const { return holds(now) && now >= m_actsFrom; }
 
 } // namespace trefoil
--- a/libs/dispatch/src/member_table.cpp
+++ b/libs/dispatch/src/member_table.cpp
@@ -22,7 +22,7 @@
 }
 
 bool member_table::noteReport(timestamp now, std::string_view name, std::uint64_t incarnation,
-                              std::uint64_t sequence, bool isLeaving, std::uint64_t dutyEpoch,
+                              std::uint64_t sequence, bool isLeaving, std::uint64_t leaderEpoch,
                               duration period)
 {
     const auto found = m_members.find(name);
@@ -35,7 +35,7 @@
     state.sequence = sequence;
     state.heardAt = now;
     state.isLeaving = isLeaving;
-    state.dutyEpoch = dutyEpoch;
+    state.leaderEpoch = leaderEpoch;
     state.period = period;
     return true;
 }
@@ -122,26 +122,26 @@
     return before;
 }
 
-bool member_table::holdsDuty(timestamp now, std::string_view name, std::uint64_t epoch) const
+bool member_table::isLeaderHeard(timestamp now, std::string_view name, std::uint64_t epoch) const
 {
     const auto found = m_members.find(name);
     return found != m_members.end()
         && now - found->second.heardAt
-        <= m_options.holderTimeout + m_options.reportTimeout.growth(m_members.size())
-        && found->second.dutyEpoch == epoch && epoch != 0;
+        <= m_options.leaderTimeout + m_options.reportTimeout.growth(m_members.size())
+        && found->second.leaderEpoch == epoch && epoch != 0;
 }
 
-bool member_table::isHolderHeard(timestamp now) const
+bool member_table::isAnyLeaderHeard(timestamp now) const
 {
     return std::any_of(m_members.begin(), m_members.end(), [&](const auto &each) {
-        return holdsDuty(now, each.first, each.second.dutyEpoch);
+        return isLeaderHeard(now, each.first, each.second.leaderEpoch);
     });
 }
 
-bool member_table::reportedDuty(std::string_view name, std::uint64_t epoch) const
+bool member_table::reportedLeadership(std::string_view name, std::uint64_t epoch) const
 {
     const auto found = m_members.find(name);
-    return found != m_members.end() && found->second.dutyEpoch == epoch && epoch != 0;
+    return found != m_members.end() && found->second.leaderEpoch == epoch && epoch != 0;
 }
 
 std::vector<endpoint> member_table::entry(timestamp now, std::string_view zone, bool isSelfUsable)
--- a/libs/dispatch/src/peer_report.cpp
+++ b/libs/dispatch/src/peer_report.cpp
@@ -141,8 +141,8 @@
     addNonEmpty(value, "unreachable", namesToJson(report.unreachable));
     addNonEmpty(value, "weights", numbersToJson(report.weights));
     addNonEmpty(value, "named_age_ms", numbersToJson(report.namedAgeMs));
-    if (report.dutyEpoch != 0)
-        value["duty_epoch"] = Json::UInt64(report.dutyEpoch);
+    if (report.leaderEpoch != 0)
+        value["duty_epoch"] = Json::UInt64(report.leaderEpoch);
     if (report.storeHeardAgoMs)
         value["store_heard_ago_ms"] = Json::UInt64(*report.storeHeardAgoMs);
     addNonEmpty(value, "stores", numbersToJson(report.storeEpochs));
--- a/libs/dispatch/src/report_reader.cpp
+++ b/libs/dispatch/src/report_reader.cpp
@@ -156,7 +156,7 @@
                         .periodMs = as<double>(fields["period_ms"]).value_or(0),
                         .delayMs = as<double>(fields["delay_ms"]).value_or(0),
                         .storeHeardAgoMs = as<std::uint64_t>(fields["store_heard_ago_ms"]),
-                        .dutyEpoch = integerField(fields, "duty_epoch")};
+                        .leaderEpoch = integerField(fields, "duty_epoch")};
     if (report.from.empty())
         return std::nullopt;
     readNumbers(fields, "revisions", report.revisions);
--- a/libs/dispatch/tests/duty_lease_test.cpp
+++ b/libs/dispatch/tests/leader_lease_test.cpp
@@ -1,4 +1,4 @@
-#include <dispatch/duty_lease.h>
+#include <dispatch/leader_lease.h>
 
 #include <array>
 #include <random>
@@ -12,15 +12,15 @@
 
 constexpr duration stepTime = std::chrono::milliseconds(50);
 
-duty_lease_options makeOptions(const char *name) { return {.self = name}; }
+leader_lease_options makeOptions(const char *name) { return {.self = name}; }
 
 /// Fake store with one object and conditional writes.
 struct fake_store
 {
-    std::optional<duty_record> record;
+    std::optional<leader_record> record;
     std::uint64_t revision = 0;
 
-    std::optional<std::uint64_t> write(const duty_record &next, std::uint64_t expected)
+    std::optional<std::uint64_t> write(const leader_record &next, std::uint64_t expected)
     {
         if (expected != revision)
             return std::nullopt;
@@ -33,7 +33,7 @@
 {
     explicit candidate(const char *name) : lease(makeOptions(name)) { }
 
-    duty_lease lease;
+    leader_lease lease;
     bool isDown = false;
     timestamp lastActed;
     bool hasActed = false;
@@ -41,15 +41,15 @@
 
 /// Makes the next store call of one candidate. With @p isStoreDown the store can't be reached; with
 /// @p isAnswerLost the answer to a write is lost.
-void stepCandidate(timestamp now, candidate &each, int rank, bool isHolderAlive, fake_store &store,
+void stepCandidate(timestamp now, candidate &each, int rank, bool isLeaderAlive, fake_store &store,
                    bool isStoreDown, bool isAnswerLost)
 {
-    const duty_step next = each.lease.next(now, rank, isHolderAlive, true);
-    if (next == duty_step::Read && !isStoreDown)
+    const store_call next = each.lease.next(now, rank, isLeaderAlive, true);
+    if (next == store_call::Read && !isStoreDown)
         each.lease.onRead(now, store.record, store.revision);
-    if (next != duty_step::Write)
+    if (next != store_call::Write)
         return;
-    const duty_record record = each.lease.startWrite(now, false);
+    const leader_record record = each.lease.startWrite(now, false);
     const std::uint64_t expected = each.lease.revision();
     const std::optional<std::uint64_t> written =
         isStoreDown ? std::nullopt : store.write(record, expected);
@@ -58,7 +58,7 @@
 
 } // namespace
 
-TEST(DutyLease, TwoHoldersNeverActWithinTheQuietTime)
+TEST(LeaderLease, TwoLeadersNeverActWithinTheQuietTime)
 {
     for (std::uint32_t seed = 1; seed <= 200; ++seed) {
         std::mt19937 random(seed);
@@ -68,7 +68,7 @@
             return static_cast<int>(random() % 1000) < perMille;
         };
         bool isStoreDown = false;
-        int lastHolder = -1;
+        int lastLeader = -1;
         timestamp lastAct {};
         int acts = 0;
         for (timestamp now {}; now < timestamp {} + std::chrono::seconds(60); now += stepTime) {
@@ -83,10 +83,10 @@
                               withProbability(30));
                 if (!each.lease.mayAct(now))
                     continue;
-                if (lastHolder >= 0 && lastHolder != static_cast<int>(i)) {
+                if (lastLeader >= 0 && lastLeader != static_cast<int>(i)) {
                     EXPECT_GE(now - lastAct, std::chrono::milliseconds(3000)) << "seed " << seed;
                 }
-                lastHolder = static_cast<int>(i);
+                lastLeader = static_cast<int>(i);
                 lastAct = now;
                 ++acts;
             }
@@ -95,9 +95,9 @@
     }
 }
 
-TEST(DutyLease, RestartedHolderTakesOverItsOwnRecordWithoutWaiting)
+TEST(LeaderLease, RestartedLeaderTakesOverItsOwnRecordWithoutWaiting)
 {
-    fake_store store {.record = duty_record {.holder = "b", .epoch = 4, .isSettled = true},
+    fake_store store {.record = leader_record {.holder = "b", .epoch = 4, .isSettled = true},
                       .revision = 9};
     candidate again("b");
     timestamp now {};
@@ -109,9 +109,9 @@
     EXPECT_LE(now - timestamp {}, std::chrono::milliseconds(200));
 }
 
-TEST(DutyLease, RestartedHolderOfAnUnsettledRecordWaits)
+TEST(LeaderLease, RestartedLeaderWithAnUnsettledRecordWaits)
 {
-    fake_store store {.record = duty_record {.holder = "b", .epoch = 4}, .revision = 9};
+    fake_store store {.record = leader_record {.holder = "b", .epoch = 4}, .revision = 9};
     candidate again("b");
     timestamp now {};
     for (; now < timestamp {} + std::chrono::seconds(3); now += stepTime) {
@@ -123,7 +123,7 @@
     EXPECT_TRUE(again.lease.mayAct(now));
 }
 
-TEST(DutyLease, HolderPausedPastItsLeaseDoesNotAct)
+TEST(LeaderLease, LeaderSuspendedPastItsLeaseDoesNotAct)
 {
     fake_store store;
     candidate holder("a");
@@ -133,12 +133,12 @@
     ASSERT_TRUE(holder.lease.mayAct(now));
     now += std::chrono::seconds(5);
     EXPECT_FALSE(holder.lease.mayAct(now));
-    EXPECT_EQ(holder.lease.next(now, 0, false, true), duty_step::Read);
+    EXPECT_EQ(holder.lease.next(now, 0, false, true), store_call::Read);
 }
 
-TEST(DutyLease, ReleasedDutyIsTakenOverWithoutWaiting)
+TEST(LeaderLease, ReleasedLeaseIsTakenOverWithoutWaiting)
 {
-    fake_store store {.record = duty_record {.holder = "a", .epoch = 1, .isReleased = true},
+    fake_store store {.record = leader_record {.holder = "a", .epoch = 1, .isReleased = true},
                       .revision = 3};
     candidate next("b");
     timestamp now {};
@@ -149,38 +149,38 @@
 
 // Guards against a burst of store reads: when 81 instances started together, each of them read the
 // record repeatedly.
-TEST(DutyLease, FewInstancesReadTheRecordBeforeTheFirstHolderIsHeard)
+TEST(LeaderLease, FewInstancesReadTheRecordBeforeTheFirstLeaderIsHeard)
 {
     int reads = 0;
     for (int rank = 0; rank < 81; ++rank) {
-        duty_lease lease({.self = "m" + std::to_string(rank)});
+        leader_lease lease({.self = "m" + std::to_string(rank)});
         // The first holder writes immediately and is heard within a report period.
         constexpr duration heardAfter = std::chrono::milliseconds(450);
         bool hasRead = false;
         for (duration at {}; at < std::chrono::seconds(5); at += std::chrono::milliseconds(50)) {
             const timestamp now = timestamp {} + std::chrono::seconds(10) + at;
-            hasRead = lease.next(now, rank, at >= heardAfter, true) == duty_step::Read || hasRead;
+            hasRead = lease.next(now, rank, at >= heardAfter, true) == store_call::Read || hasRead;
         }
         reads += hasRead ? 1 : 0;
     }
     EXPECT_LE(reads, 10);
     // If no holder appears, the instance of the highest rank reads as well.
-    duty_lease last({.self = "m80"});
+    leader_lease last({.self = "m80"});
     const timestamp start = timestamp {} + std::chrono::seconds(10);
-    EXPECT_EQ(last.next(start, 80, false, true), duty_step::None);
-    EXPECT_EQ(last.next(start + std::chrono::seconds(4), 80, false, true), duty_step::Read);
+    EXPECT_EQ(last.next(start, 80, false, true), store_call::None);
+    EXPECT_EQ(last.next(start + std::chrono::seconds(4), 80, false, true), store_call::Read);
 }
 
-TEST(DutyLease, RecordRoundTripsThroughText)
+TEST(LeaderLease, RecordRoundTripsThroughText)
 {
-    const duty_record record {.holder = "a",
-                              .epoch = 7,
-                              .renewal = 12,
-                              .isReleased = true,
-                              .namedAtMs = {{"m=2", 1771762944016}}};
-    EXPECT_EQ(parseDutyRecord(toText(record)), record);
-    EXPECT_FALSE(parseDutyRecord("{}"));
-    EXPECT_FALSE(parseDutyRecord("not json"));
+    const leader_record record {.holder = "a",
+                                .epoch = 7,
+                                .renewal = 12,
+                                .isReleased = true,
+                                .namedAtMs = {{"m=2", 1771762944016}}};
+    EXPECT_EQ(parseLeaderRecord(toText(record)), record);
+    EXPECT_FALSE(parseLeaderRecord("{}"));
+    EXPECT_FALSE(parseLeaderRecord("not json"));
 }
 
 } // namespace trefoil
--- a/libs/dispatch/tests/member_table_test.cpp
+++ b/libs/dispatch/tests/member_table_test.cpp
@@ -100,22 +100,22 @@
     EXPECT_FALSE(members.noteReport(now, "b", 2, 4, true, 0));
     EXPECT_FALSE(members.noteReport(now, "b", 1, 9, true, 0));
     EXPECT_FALSE(members.noteReport(now, "unlisted", 1, 1, false, 0));
-    EXPECT_TRUE(members.holdsDuty(now, "b", 3));
-    EXPECT_FALSE(members.holdsDuty(now + std::chrono::seconds(1), "b", 3));
-    EXPECT_TRUE(members.reportedDuty("b", 3));
+    EXPECT_TRUE(members.isLeaderHeard(now, "b", 3));
+    EXPECT_FALSE(members.isLeaderHeard(now + std::chrono::seconds(1), "b", 3));
+    EXPECT_TRUE(members.reportedLeadership("b", 3));
 }
 
-TEST(MemberTable, ReportsWhetherSelfIsListedAndAHolderIsHeard)
+TEST(MemberTable, ReportsWhetherSelfIsListedAndALeaderIsHeard)
 {
     member_table members({.self = "a", .zone = "z1"});
     timestamp now {};
     EXPECT_FALSE(members.isSelfListed());
     members.setListed(now, {makeEntry("a", "z1", 1), makeEntry("b", "z1", 2)});
     EXPECT_TRUE(members.isSelfListed());
-    EXPECT_FALSE(members.isHolderHeard(now));
+    EXPECT_FALSE(members.isAnyLeaderHeard(now));
     members.noteReport(now, "b", 1, 1, false, 4);
-    EXPECT_TRUE(members.isHolderHeard(now));
-    EXPECT_FALSE(members.isHolderHeard(now + std::chrono::seconds(1)));
+    EXPECT_TRUE(members.isAnyLeaderHeard(now));
+    EXPECT_FALSE(members.isAnyLeaderHeard(now + std::chrono::seconds(1)));
 }
 
 TEST(MemberTable, RankCountsLiveInstancesSortedBeforeSelf)
--- a/libs/dispatch/tests/peer_report_test.cpp
+++ b/libs/dispatch/tests/peer_report_test.cpp
@@ -24,7 +24,7 @@
         .loading = {"s2"},
         .weights = {{"s1=m", 4}},
         .namedAgeMs = {{"m=4", 1500}},
-        .dutyEpoch = 3,
+        .leaderEpoch = 3,
         .releases = {{.service = "a", .release = "v2", .route = "r", .counts = {5, 1, 2}}},
         .storeEpochs = {{"10.0.0.9:1", 77}}};
     const std::optional<peer_report> read = parsePeerReport(toText(report));
--- a/trefoilrouter/src/edge/leader_runner.cpp
+++ b/trefoilrouter/src/edge/leader_runner.cpp
@@ -126,28 +126,28 @@
 bool leader_runner::keepLease()
 {
     const timestamp now = boot_clock::now();
-    duty_step step = duty_step::None;
+    store_call step = store_call::None;
     {
         const std::lock_guard<std::mutex> lock(m_mutex);
-        const duty_record record = m_lease.record();
+        const leader_record record = m_lease.record();
         int rank = 0;
-        bool isHolderAlive = false;
+        bool isLeaderAlive = false;
         bool isListed = false;
         m_state.with([&](routing_state &routing) {
             rank = routing.members.rank(now);
             isListed = routing.members.isSelfListed();
-            isHolderAlive = m_lease.isKnown()
-                ? routing.members.holdsDuty(now, record.holder, record.epoch)
-                : routing.members.isHolderHeard(now);
+            isLeaderAlive = m_lease.isKnown()
+                ? routing.members.isLeaderHeard(now, record.holder, record.epoch)
+                : routing.members.isAnyLeaderHeard(now);
         });
         // The lease can't be given up while an order is in flight.
         const bool mayHold = !m_state.isLeaving() || m_ordersInFlight > 0;
         const bool isReady = m_state.tables() && (isListed || m_lease.isKnown());
-        step = isReady ? m_lease.next(now, rank, isHolderAlive, mayHold) : duty_step::None;
+        step = isReady ? m_lease.next(now, rank, isLeaderAlive, mayHold) : store_call::None;
     }
-    if (step == duty_step::Read)
+    if (step == store_call::Read)
         readLease();
-    else if (step == duty_step::Write)
+    else if (step == store_call::Write)
         writeLease(m_state.isLeaving());
     const std::lock_guard<std::mutex> lock(m_mutex);
     const bool isLeader = m_lease.holds(boot_clock::now());
@@ -161,10 +161,10 @@
     return hasChanged;
 }
 
-bool leader_runner::knowsOrdersOf(const duty_record &holder)
+bool leader_runner::knowsOrdersOf(const leader_record &holder)
 {
     return m_state.with([&holder](routing_state &routing) {
-        return routing.members.reportedDuty(holder.holder, holder.epoch);
+        return routing.members.reportedLeadership(holder.holder, holder.epoch);
     });
 }
 
@@ -184,7 +184,7 @@
     return times;
 }
 
-void leader_runner::applyNamedTimes(const duty_record &record)
+void leader_runner::applyNamedTimes(const leader_record &record)
 {
     const timestamp now = boot_clock::now();
     const std::uint64_t wall = wallMilliseconds();
@@ -202,22 +202,22 @@
 {
     const result<object> got = m_store.get(leaseObject);
     if (got) {
-        const std::optional<duty_record> record = parseDutyRecord(got->value);
+        const std::optional<leader_record> record = parseLeaderRecord(got->value);
         if (record)
             applyNamedTimes(*record);
     }
     const std::lock_guard<std::mutex> lock(m_mutex);
     const timestamp now = boot_clock::now();
     if (got)
-        m_lease.onRead(now, parseDutyRecord(got->value), got->version);
+        m_lease.onRead(now, parseLeaderRecord(got->value), got->version);
     else if (got.error().code == platform_errors::notFound)
         m_lease.onRead(now, std::nullopt, 0);
 }
 
 void leader_runner::writeLease(bool release)
 {
-    duty_record record;
-    duty_record before;
+    leader_record record;
+    leader_record before;
     std::uint64_t revision = 0;
     {
         const std::lock_guard<std::mutex> lock(m_mutex);
--- a/trefoilrouter/src/edge/leader_runner.h
+++ b/trefoilrouter/src/edge/leader_runner.h
@@ -5,7 +5,7 @@
 
 #include <adapter/store_client.h>
 #include <core/supervisor.h>
-#include <dispatch/duty_lease.h>
+#include <dispatch/leader_lease.h>
 #include <dispatch/weights_plan.h>
 
 #include "edge/edge_state.h"
@@ -38,9 +38,9 @@
     bool keepLease();
     void readLease();
     void writeLease(bool release);
-    bool knowsOrdersOf(const duty_record &holder);
+    bool knowsOrdersOf(const leader_record &holder);
     std::map<std::string, std::uint64_t, std::less<>> weightsNamedTimes();
-    void applyNamedTimes(const duty_record &record);
+    void applyNamedTimes(const leader_record &record);
     void planWeights(peer_exchange &exchange);
     void executeOrder(const weights_order &order);
     void queryServer(const registered_server &server);
@@ -51,7 +51,7 @@
     store_client &m_store;
     work_queue &m_queue;
     std::mutex m_mutex;
-    duty_lease m_lease;
+    leader_lease m_lease;
     weights_plan m_plan;
     std::uint64_t m_planEpoch = 0;
     std::atomic<int> m_ordersInFlight = 0;
--- a/trefoilrouter/src/edge/peer_exchange.cpp
+++ b/trefoilrouter/src/edge/peer_exchange.cpp
@@ -96,7 +96,7 @@
                         .periodMs = toSeconds(reportInterval(m_isLeader)) * 1000,
                         .revisions = m_watch.newestChanges(),
                         .loading = leaderReport.loading,
-                        .dutyEpoch = leaderReport.epoch,
+                        .leaderEpoch = leaderReport.epoch,
                         .storeEpochs = leaderReport.storeEpochs};
     std::vector<report_target> targets;
     m_state.with([&](routing_state &routing) {
@@ -182,7 +182,7 @@
     endpoint peer;
     const bool isNew = m_state.with([&](routing_state &routing) {
         if (!routing.members.noteReport(now, report.from, report.incarnation, report.sequence,
-                                        report.isLeaving, report.dutyEpoch,
+                                        report.isLeaving, report.leaderEpoch,
                                         fromSeconds(report.periodMs / 1000)))
             return false;
         peer = routing.members.peerAddress(report.from);
