--- a/libs/dispatch/benchmarks/bench_dispatch.cpp
+++ b/libs/dispatch/benchmarks/bench_dispatch.cpp
@@ -31,8 +31,8 @@
                                       {"servers/", 1300},
                                       {"versions/", 1250}},
                         .admitted = {{"team-1", 120000.5}, {"team-2", 88000}, {"team-3", 12}},
-                        .askedRates = {{"team-1", 1200.5}, {"team-2", 880}, {"team-3", 2}},
-                        .namedAgeMs = {{"model=2", 20000}, {"model=3", 9000}, {"model=4", 200}},
+                        .demandRates = {{"team-1", 1200.5}, {"team-2", 880}, {"team-3", 2}},
+                        .targetAgeMs = {{"model=2", 20000}, {"model=3", 9000}, {"model=4", 200}},
                         .storeHeardAgoMs = 120};
     for (int i = 0; i < openRequests; ++i)
         report.load[serverName((instance * 13 + i * 11) % servers)] = {
--- a/libs/dispatch/include/dispatch/leader_lease.h
+++ b/libs/dispatch/include/dispatch/leader_lease.h
@@ -11,23 +11,24 @@
 
 namespace trefoil {
 
-/// Store object that names the holder of a duty, one for each duty. It is changed only by
-/// conditional updates, so that the store decides between candidates.
+/// Store object that names the leader: the one instance at a time that sends orders to servers. It
+/// is changed only by conditional updates, so that the store decides between candidates.
 struct leader_record
 {
+    /// Name of the leader, or empty if there has been none.
     std::string holder;
-    /// Fencing token: incremented with each take-over and sent with each order.
+    /// Fencing token: incremented with each takeover and sent with each order.
     std::uint64_t epoch = 0;
     /// Incremented with each write, so that a renewal always changes the object.
     std::uint64_t renewal = 0;
-    /// Whether the holder released the duty after its last order had been answered.
+    /// Whether the holder released the lease after its last order had been answered.
     bool isReleased = false;
-    /// Whether the quiet time after the previous holder's lease has passed. Until then a holder
-    /// that restarts has to wait, because it no longer knows what the previous holder ordered.
+    /// Whether the quiet time after the previous leader's lease has passed. Until then a leader
+    /// that restarts has to wait, because it no longer knows what the previous leader ordered.
     bool isSettled = false;
-    /// Wall-clock time in milliseconds since 1970 at which weights were announced, by
+    /// Wall-clock time in milliseconds since 1970 at which weights became a target, by
     /// "model=version". Preserves the times when all instances restart together.
-    std::map<std::string, std::uint64_t, std::less<>> namedAtMs;
+    std::map<std::string, std::uint64_t, std::less<>> targetSetAtMs;
 
     bool operator==(const leader_record &) const = default;
 };
@@ -37,7 +38,7 @@
 /// Parses the output of toText(). Returns nothing if @p text is malformed. Thread-safe.
 std::optional<leader_record> parseLeaderRecord(std::string_view text);
 
-/// Options of a duty lease.
+/// Options of a leader lease.
 struct leader_lease_options
 {
     /// Name of this instance.
@@ -48,23 +49,23 @@
     duration leaseDuration = std::chrono::milliseconds(1000);
     /// Time between renewals: about a third of the lease duration.
     duration renewInterval = std::chrono::milliseconds(350);
-    /// Time after the end of a lease for which a successor that doesn't know the previous holder's
-    /// orders sends none: the time within which backend servers must not see two holders, plus the
-    /// transit time of an order.
+    /// Time after the end of a lease for which a successor that doesn't know the previous leader's
+    /// orders sends none: the time within which backend servers must not receive orders from two
+    /// leaders, plus the transit time of an order.
     duration quietTime = std::chrono::milliseconds(3300);
-    /// Delay of a candidate's take-over for each lower rank, so that candidates don't write at the
-    /// same time.
+    /// Delay of a candidate's takeover for each candidate of lower rank, so that candidates don't
+    /// write at the same time.
     duration rankDelay = std::chrono::milliseconds(300);
-    /// Delay for each lower rank before a candidate first reads the record when no holder is heard.
-    /// Within two report periods only a few instances read it.
+    /// Delay for each candidate of lower rank before a candidate first reads the record when no
+    /// leader is heard. Within two report periods only a few instances read it.
     duration firstReadDelay = std::chrono::milliseconds(50);
 };
 
-/// Next call to the store.
+/// Call to the store that is due.
 enum class store_call { None, Read, Write };
 
-/// Lease on a duty, kept in one object of the store: a pure state machine. The holder stops acting
-/// before another instance can take over, whether or not its renewals reached the store. A
+/// Lease of the leader, kept in one object of the store: a pure state machine. The leader stops
+/// acting before another instance can take over, whether or not its renewals reached the store. A
 /// successor waits until the record has stayed unchanged for longer than the lease duration, so the
 /// clocks of instances are never compared. Not thread-safe.
 ///
@@ -76,26 +77,27 @@
     explicit leader_lease(const leader_lease_options &options) : m_options(options) { }
 
     /// Returns the next call to make. @p rank is the number of live instances ordered before this
-    /// one. @p isLeaderAlive tells that the known holder, or any holder while none is known, was
-    /// heard recently; the record is not read then. @p mayHold is false for an instance that is
-    /// leaving.
-    store_call next(timestamp now, int rank, bool isLeaderAlive, bool mayHold);
-    /// Returns whether the record has been read or written.
+    /// one. @p isLeaderAlive tells that the known leader, or any leader while none is known, was
+    /// heard recently; the record is not read then. @p mayLead is false for an instance that is
+    /// leaving: it releases the lease and doesn't take it over.
+    store_call next(timestamp now, int rank, bool isLeaderAlive, bool mayLead);
+    /// Returns whether the record has been read or written, and no takeover has failed since.
     bool isKnown() const { return m_isKnown; }
     /// Takes the result of a read: the record and its revision, or nothing if there is no record.
     void onRead(timestamp now, const std::optional<leader_record> &record, std::uint64_t revision);
     /// Returns the record to write over revision(). Call when next() returns Write; the lease
-    /// counts from @p now. With @p release the duty is released. Precondition then: no order is in
+    /// counts from @p now. With @p release the lease is released. Precondition then: no order is in
     /// flight.
     leader_record startWrite(timestamp now, bool release);
     /// Takes the result of the write that startWrite() began: the new revision, or nothing if the
-    /// write was not acknowledged. @p knowsOrders tells that the reports of the previous holder
+    /// write was not acknowledged. @p knowsOrders tells that the reports of the previous leader
     /// were heard, so that each server it may have sent an order to is known.
     void onWritten(timestamp now, std::optional<std::uint64_t> revision, bool knowsOrders);
 
-    /// Returns whether orders may be sent at @p now.
+    /// Returns whether this instance may act as the leader at @p now: send orders, report rollouts
+    /// and remove dead instances.
     bool mayAct(timestamp now) const;
-    /// Returns whether the duty is held at @p now, whether or not orders may be sent yet.
+    /// Returns whether the lease is held at @p now, whether or not the instance may act yet.
     bool holds(timestamp now) const;
     /// Returns the epoch of the last known record: that of this instance's lease while holds().
     std::uint64_t epoch() const { return m_record.epoch; }
@@ -111,7 +113,7 @@
     leader_record m_record;
     std::uint64_t m_revision = 0;
     bool m_isKnown = false;
-    /// Time since which no holder has been heard.
+    /// Time since which no leader has been heard.
     std::optional<timestamp> m_noLeaderSince;
     bool m_isHeld = false;
     /// The record names this instance but dates from before a restart or an expired lease.
@@ -123,9 +125,11 @@
     timestamp m_readAt;
     timestamp m_writeStartedAt;
     timestamp m_heldUntil;
+    /// Time from which the leader may act.
     timestamp m_actsFrom;
-    /// Time at which the quiet time after the previous holder's lease ends.
+    /// Time at which the quiet time after the previous leader's lease ends.
     timestamp m_settledFrom;
+    /// Record of the write in progress.
     leader_record m_writing;
 };
 
--- a/libs/dispatch/include/dispatch/load_balancer.h
+++ b/libs/dispatch/include/dispatch/load_balancer.h
@@ -48,21 +48,21 @@
     std::string release;
     /// Weights that the server is believed to run; 0 for a service without a model.
     std::uint64_t weights = 0;
-    /// Namespace of the KV cache on the engine. It contains the model, the weights version and the
-    /// team if that is isolated, so a request never reuses KV cache of other weights or of an
-    /// isolated team. Empty for a service without a model.
-    std::string cacheName;
-    /// Engine or KV-cache store to copy missing parts from.
+    /// Requests with the same salt share KV cache on an engine. It contains the model, the weights
+    /// version and the team if that is isolated, so a request never reuses KV cache of other
+    /// weights or of an isolated team. Empty for a service without a model.
+    std::string cacheSalt;
+    /// Engine or KV cache store to copy missing parts from.
     std::optional<endpoint> cacheSource;
-    /// KV-cache store that the engine writes the shared parts to.
+    /// KV cache store that the engine writes the shared parts to.
     std::optional<endpoint> cacheSink;
     /// Time in milliseconds that the request's copies occupy the link of transferStore.
     double storeTransferMs = 0;
-    /// Address of the KV-cache store that the request copies from or to, or empty.
+    /// Address of the KV cache store that the request copies from or to, or empty.
     std::string transferStore;
     /// Prompt tokens that the engine must compute.
     double missingTokens = 0;
-    /// KV-cache memory that the request takes on the engine, in tokens.
+    /// KV cache memory that the request takes on the engine, in tokens.
     double memoryTokens = 0;
     /// Expected time to the first event in milliseconds.
     double expectedMs = 0;
@@ -89,7 +89,7 @@
     int running = 0;
     /// Prompt tokens to compute for requests that have had no first event yet.
     double pendingTokens = 0;
-    /// KV-cache memory that the requests take on the engine, in tokens.
+    /// KV cache memory that the requests take on the engine, in tokens.
     double memoryTokens = 0;
 };
 
@@ -99,7 +99,7 @@
 {
     std::string server;
     std::vector<std::uint64_t> parts;
-    /// Address of the KV-cache store that parts are copied from or to, or empty.
+    /// Address of the KV cache store that parts are copied from or to, or empty.
     std::string store;
     /// Whether the parts are written to that store.
     bool isStored = false;
@@ -126,11 +126,11 @@
     double crossZoneCallCostMs = 4;
     /// Cost of a server other than the home server of the prompt's last shared part.
     double nonHomeCostMs = 40;
-    /// Cost of weights older than the newest announced ones; see staleWeightsDelay.
+    /// Cost of weights older than the newest target weights; see staleWeightsDelay.
     double staleWeightsCostMs = 100;
-    /// Time after newer weights were announced from which stale weights cost staleWeightsCostMs.
+    /// Time after newer target weights were set from which stale weights cost staleWeightsCostMs.
     duration staleWeightsDelay = std::chrono::milliseconds(1500);
-    /// Time after newer weights were announced from which no request is placed on older ones: the
+    /// Time after newer target weights were set from which no request is placed on older ones: the
     /// maximum age of stale answers less the time that a request may wait at its server.
     duration staleWeightsLimit = std::chrono::milliseconds(10500);
     /// Fraction of an engine's memory that requests may take before further ones queue.
@@ -157,10 +157,11 @@
     /// Replaces the list of servers. The state of servers that stay listed is kept unless they have
     /// restarted.
     void setServers(std::span<const registered_server> servers);
-    /// Sets the engine traits of the services and the KV-cache stores.
+    /// Sets the engine traits of the services and the KV cache stores.
     void setTables(const serving_tables &tables);
-    /// Records that @p version of @p model was announced at @p since or earlier.
-    void addAnnouncedWeights(std::string_view model, std::uint64_t version, timestamp since);
+    /// Records that the operator set the target weights of @p model to @p version at @p since or
+    /// earlier.
+    void addTargetWeights(std::string_view model, std::uint64_t version, timestamp since);
     /// Records that @p server itself stated that it runs @p version of @p model. Ignored if a newer
     /// version is known.
     void onWeightsObserved(timestamp now, std::string_view server, std::string_view model,
@@ -169,7 +170,7 @@
     /// serversWithNewWeights(), so this instance does not report them again.
     void onWeightsReported(std::string_view server, std::string_view model, std::uint64_t version);
     /// Records that @p server refused a request because it doesn't run version @p tried: it has
-    /// loaded weights that this instance has not heard of. The next announced version is assumed
+    /// loaded weights that this instance has not heard of. The next target version is assumed
     /// until the server confirms one.
     void onWeightsMismatch(timestamp now, std::string_view server, std::string_view model,
                            std::uint64_t tried);
@@ -181,7 +182,7 @@
     /// @p until.
     void markLoading(std::string_view server, timestamp until);
 
-    /// Sets the start epoch of the KV-cache store at @p address, 0 while the store doesn't answer.
+    /// Sets the boot epoch of the KV cache store at @p address, 0 while the store doesn't answer.
     /// A changed epoch means that the store has restarted empty.
     void setStoreEpoch(std::string_view address, std::uint64_t epoch);
 
@@ -221,21 +222,21 @@
     /// Records placements made by another instance.
     void addCachePlacements(timestamp now, std::span<const cache_placement> placements);
 
-    /// Returns the addresses of the KV-cache stores.
+    /// Returns the addresses of the KV cache stores.
     std::vector<endpoint> cacheStores() const;
     /// Returns the listed servers with the weights that they are known to run.
     std::vector<registered_server> servers() const;
     /// Returns the servers on which newer weights were observed after @p since, with all weights
     /// that they run.
     std::vector<registered_server> serversWithNewWeights(timestamp since) const;
-    /// Returns the time at which each weights version was announced, by model and version.
+    /// Returns the time at which each weights version became the target, by model and version.
     const std::map<std::string, std::map<std::uint64_t, timestamp>, std::less<>> &
-    announcedWeights() const
+    targetWeights() const
     {
-        return m_announced;
+        return m_targetWeights;
     }
-    /// Returns the newest announced weights version by model.
-    std::map<std::string, std::uint64_t, std::less<>> newestWeights() const;
+    /// Returns the newest target version of the weights, by model.
+    std::map<std::string, std::uint64_t, std::less<>> newestTargetWeights() const;
     /// Returns the distinct releases that the servers of @p service run.
     std::vector<std::string> releasesOf(std::string_view service) const;
     /// Returns the load that all instances together put on @p server.
@@ -328,7 +329,7 @@
     static std::uint64_t weightsOf(const server_state &state, std::string_view model);
     static bool mayTake(timestamp now, const server_state &state, const request_profile &request);
     std::optional<server_placement> chooseAmong(timestamp now, const request_profile &request,
-                                                bool isLastResort);
+                                                bool includesUnreachable);
     double staleWeightsCost(timestamp now, const server_state &state,
                             const request_profile &request) const;
     server_placement estimate(timestamp now, const server_state &state,
@@ -343,7 +344,11 @@
     part_source findSource(timestamp now, const server_state &target, std::uint64_t part,
                            const prompt_affinity &affinity) const;
     prompt_affinity affinityOf(timestamp now, const request_profile &request) const;
+    /// Returns the store for a prompt prefix, chosen by rendezvous hashing, or nullptr if there is
+    /// none.
     const store_state *assignedStore(std::uint64_t prefixHash) const;
+    /// Returns the home server for a prompt prefix, chosen by rendezvous hashing, or "" if there is
+    /// none.
     std::string homeServerOf(const request_profile &request, std::uint64_t prefixHash,
                              const store_state *store) const;
     double copyMs(const part_source &source, const server_state &target, double tokens,
@@ -363,7 +368,7 @@
     std::map<std::string, server_state, std::less<>> m_servers;
     std::map<std::string, engine_traits, std::less<>> m_engines;
     std::vector<store_state> m_stores;
-    std::map<std::string, std::map<std::uint64_t, timestamp>, std::less<>> m_announced;
+    std::map<std::string, std::map<std::uint64_t, timestamp>, std::less<>> m_targetWeights;
     /// Holders by part, cached during one choice: the estimates of all servers need the same few
     /// parts.
     mutable std::unordered_map<std::uint64_t, std::vector<part_holder>> m_holders;
@@ -372,9 +377,9 @@
     std::vector<cache_placement> m_placed;
 };
 
-/// Returns the namespace under which engines share KV cache of @p model at version @p weights. It
+/// Returns the salt under which engines share KV cache of @p model at version @p weights. It
 /// includes @p isolatedTeam if that is not empty. Thread-safe.
-std::string cacheNameOf(std::string_view model, std::uint64_t weights,
+std::string cacheSaltOf(std::string_view model, std::uint64_t weights,
                         std::string_view isolatedTeam);
 
 } // namespace trefoil
--- a/libs/dispatch/include/dispatch/member_table.h
+++ b/libs/dispatch/include/dispatch/member_table.h
@@ -51,9 +51,9 @@
     std::string zone;
     /// A member that is not heard for longer is considered dead.
     report_timeout reportTimeout;
-    /// A duty holder that is not heard for this time plus report_timeout::growth() may be
-    /// succeeded: about three report periods. Short, because the successor checks with the store
-    /// first.
+    /// Another instance may take over from a leader that is not heard for this time plus
+    /// report_timeout::growth(): about three report periods. Short, because the successor checks
+    /// with the store first.
     duration leaderTimeout = std::chrono::milliseconds(650);
     /// Callers are sent to all zones if their own zone has fewer live instances than this.
     std::size_t minInZone = 2;
@@ -64,8 +64,8 @@
     duration maxDelay = std::chrono::milliseconds(40);
     /// Time for which callers are sent to all instances after an overload.
     duration spreadTime = std::chrono::seconds(10);
-    /// Maximum number of instances returned to a caller.
-    std::size_t maxEntryInstances = 64;
+    /// Maximum number of addresses returned to a caller.
+    std::size_t maxCallerAddresses = 64;
     /// A fleet with more other instances than this is large: a report goes to one instance of each
     /// other zone, which forwards it there, and instances without callers report less often. A full
     /// mesh of 81 instances sent 0.5 GB per minute between zones.
@@ -87,8 +87,9 @@
     /// Replaces the listed instances, including this one. A new instance counts as alive until its
     /// first report is overdue.
     void setListed(timestamp now, const std::vector<member_entry> &entries);
-    /// Records a report of @p name, which announces its next report after @p period. Returns false
-    /// if @p name isn't listed or the report is not newer than the last one.
+    /// Records a report of @p name, which announces its next report after @p period. @p leaderEpoch
+    /// is 0 unless @p name is the leader. Returns false if @p name isn't listed or the report is
+    /// not newer than the last one.
     bool noteReport(timestamp now, std::string_view name, std::uint64_t incarnation,
                     std::uint64_t sequence, bool isLeaving, std::uint64_t leaderEpoch,
                     duration period = {});
@@ -119,18 +120,17 @@
     int rank(timestamp now) const;
     /// Returns whether this instance is listed; rank() is meaningful only then.
     bool isSelfListed() const;
-    /// Returns whether any instance reported recently that it holds a duty.
+    /// Returns whether any instance reported recently that it is the leader.
     bool isAnyLeaderHeard(timestamp now) const;
-    /// Returns whether @p name reported recently that it holds a duty with @p epoch.
+    /// Returns whether @p name reported recently that it is the leader of @p epoch.
     bool isLeaderHeard(timestamp now, std::string_view name, std::uint64_t epoch) const;
-
-    /// Returns whether the last report of @p name, however old, said that it holds a duty with
+    /// Returns whether the last report of @p name, however old, said that it is the leader of
     /// @p epoch.
     bool reportedLeadership(std::string_view name, std::uint64_t epoch) const;
 
     /// Returns the addresses of the instances that a caller in @p zone is to use. @p isSelfUsable
     /// tells whether this instance accepts callers.
-    std::vector<endpoint> entry(timestamp now, std::string_view zone, bool isSelfUsable);
+    std::vector<endpoint> callerAddresses(timestamp now, std::string_view zone, bool isSelfUsable);
 
 private:
     struct member_state
--- a/libs/dispatch/include/dispatch/peer_report.h
+++ b/libs/dispatch/include/dispatch/peer_report.h
@@ -46,36 +46,38 @@
     double delayMs = 0;
     /// Newest store revision that the instance has seen, by kind of object.
     std::map<std::string, std::uint64_t, std::less<>> revisions;
+    /// Load that the instance has put on each server.
     std::map<std::string, server_load, std::less<>> load;
+    /// See team_limits::totals(), team_limits::levels() and team_limits::demandRates().
     admitted_totals admitted;
     admitted_totals levels;
-    admitted_totals askedRates;
+    admitted_totals demandRates;
     std::vector<cache_placement> placed;
     std::vector<crash_record> crashes;
-    /// Servers that load weights on the order of this instance.
+    /// Servers that load weights on the order of the instance.
     std::vector<std::string> loading;
     /// Servers at whose addresses other servers answer.
     std::vector<std::string> gone;
-    /// Servers that this instance can't reach.
+    /// Servers that the instance can't reach.
     std::vector<std::string> unreachable;
-    /// Newest weights versions observed in answers, by "server=model".
+    /// Weights of the servers on which newer weights were observed recently, by "server=model".
     std::map<std::string, std::uint64_t, std::less<>> weights;
-    /// Milliseconds since weights were announced, by "model=version", for instances that have
+    /// Milliseconds since weights became a target, by "model=version", for instances that have
     /// restarted since.
-    std::map<std::string, std::uint64_t, std::less<>> namedAgeMs;
+    std::map<std::string, std::uint64_t, std::less<>> targetAgeMs;
     /// Milliseconds since the platform's store last answered the instance; empty before the first
     /// answer.
     std::optional<std::uint64_t> storeHeardAgoMs;
-    /// Epoch of the duty that the instance holds, 0 for none.
+    /// Epoch of the instance's leader lease, 0 if it is not the leader.
     std::uint64_t leaderEpoch = 0;
     std::vector<release_outcomes> releases;
-    /// Start epochs of the KV-cache stores by address, 0 for a store that doesn't answer. Filled by
-    /// the duty holder, which polls the stores; empty in reports of other instances.
+    /// Boot epochs of the KV cache stores by address, 0 for a store that doesn't answer. Filled by
+    /// the leader, which polls the stores; empty in reports of other instances.
     std::map<std::string, std::uint64_t, std::less<>> storeEpochs;
 };
 
-/// Identifies a weights version of a model in reports and records.
-struct weights_name
+/// Identifies a weights version of a model in reports and in the leader record.
+struct weights_key
 {
     std::string model;
     std::uint64_t version = 0;
@@ -84,7 +86,7 @@
 /// Returns "model=version". Thread-safe.
 std::string weightsKey(std::string_view model, std::uint64_t version);
 /// Parses the output of weightsKey(). Returns nothing if @p text is malformed. Thread-safe.
-std::optional<weights_name> parseWeightsKey(std::string_view text);
+std::optional<weights_key> parseWeightsKey(std::string_view text);
 
 /// Serializes @p report as the text of a datagram. Thread-safe.
 std::string toText(const peer_report &report);
--- a/libs/dispatch/include/dispatch/release_shares.h
+++ b/libs/dispatch/include/dispatch/release_shares.h
@@ -18,7 +18,7 @@
     std::string service;
     std::string release;
     /// Time from the request to its deadline.
-    duration time {};
+    duration rampTime {};
     /// Stage that was reported for this request before, if any.
     std::optional<rollout_stage> reported;
 };
@@ -29,8 +29,8 @@
     /// Share of requests that the new release gets until all traffic moves: half of what a bad
     /// release may get in total, since a fault may show late.
     double canaryShare = 0.05;
-    /// Fractions of rollout_request::time after which all traffic moves and after which the move
-    /// counts as done.
+    /// Fractions of rollout_request::rampTime after which all traffic moves and after which the
+    /// move counts as done.
     double moveAt = 0.86;
     double doneAt = 0.95;
     /// Minimum number of requests served by the new release before it gets all traffic.
@@ -39,7 +39,7 @@
 
 /// Splits a service's requests between the old and the new release while traffic moves. Each
 /// instance advances the stages by its own clock, from when it first saw the rollout request, and
-/// takes the release back when it has enough evidence of failures. Not thread-safe.
+/// rolls the release back when it has enough evidence of failures. Not thread-safe.
 class release_shares
 {
 public:
--- a/libs/dispatch/include/dispatch/serving_tables.h
+++ b/libs/dispatch/include/dispatch/serving_tables.h
@@ -61,7 +61,7 @@
 {
     /// Requests processed concurrently.
     int slots = 1;
-    /// Capacity of the engine's KV-cache memory in tokens, shared by running requests and cached
+    /// Capacity of the engine's KV cache memory in tokens, shared by running requests and cached
     /// prompt parts.
     double memoryTokens = 0;
     /// Bytes of KV cache per token.
@@ -71,7 +71,7 @@
     std::vector<std::string> models;
 };
 
-/// A KV-cache store that engines copy the KV cache of prompt parts to and from.
+/// A KV cache store that engines copy the KV cache of prompt parts to and from.
 struct cache_store
 {
     endpoint address;
@@ -80,7 +80,7 @@
     double linkMbps = 0;
 };
 
-/// A pool of backend servers, or a KV-cache store.
+/// A pool of backend servers, or a KV cache store.
 struct served_service
 {
     std::string name;
@@ -89,7 +89,7 @@
     int connectionLimit = 0;
     /// Set if the servers of the pool are model engines.
     std::optional<engine_traits> engine;
-    /// Set if the service is a KV-cache store.
+    /// Set if the service is a KV cache store.
     std::optional<cache_store> cacheStore;
 };
 
@@ -104,7 +104,7 @@
     int priority = 0;
     limit_unit unit = limit_unit::Requests;
     /// Tokens charged for a request without a token count.
-    double plainTokens = 1;
+    double defaultTokens = 1;
     /// Whether the team shares no KV cache with other teams.
     bool isIsolated = false;
     /// Units per second; 0 for no limit.
@@ -140,7 +140,7 @@
     const served_team *findTeam(std::string_view key) const;
     /// Returns the service called @p name, or nullptr. Thread-safe.
     const served_service *findService(std::string_view name) const;
-    /// Returns all KV-cache stores. Thread-safe.
+    /// Returns all KV cache stores. Thread-safe.
     std::vector<cache_store> cacheStores() const;
 };
 
--- a/libs/dispatch/include/dispatch/team_limits.h
+++ b/libs/dispatch/include/dispatch/team_limits.h
@@ -65,22 +65,22 @@
     /// Tries to admit @p units of @p team. Returns nothing if they were admitted, otherwise the
     /// time after which to retry. A team without a limit is always admitted.
     std::optional<duration> admit(timestamp now, std::string_view team, double units);
-    /// Returns the units of a request that never ran.
-    void giveBack(std::string_view team, double units);
+    /// Refunds the units of a request that never ran.
+    void refund(std::string_view team, double units);
 
     /// Sets the names of all other known instances, whether or not they have been heard.
     void setPeers(timestamp now, const std::vector<std::string> &peers);
     /// Applies the totals and demand rates that @p peer reports, which announces its next report
     /// after @p period. A changed @p incarnation means that the peer restarted with totals of 0.
     void applyReport(timestamp now, std::string_view peer, std::uint64_t incarnation,
-                     const admitted_totals &admitted, const admitted_totals &askedRates,
+                     const admitted_totals &admitted, const admitted_totals &demandRates,
                      duration period = {});
     /// Replaces the levels by those that an instance reports which has run for longer than this
     /// one, capped at the burst.
     void adoptLevels(timestamp now, const admitted_totals &levels);
 
-    /// State of a team's limit, for logging an admission decision.
-    struct team_view
+    /// State of a team's limit, for the log of an admission decision.
+    struct limit_state
     {
         double rate = 0;
         double level = 0;
@@ -92,12 +92,12 @@
         int known = 0;
     };
     /// Returns the state of @p team's limit.
-    team_view view(timestamp now, std::string_view team) const;
+    limit_state limitState(timestamp now, std::string_view team) const;
 
     /// Returns what this instance has admitted since it started.
     const admitted_totals &totals() const { return m_totals; }
     /// Returns the demand on this instance by team, in units per second.
-    admitted_totals askedRates(timestamp now);
+    admitted_totals demandRates(timestamp now);
     /// Returns the bucket level of each team at @p now.
     admitted_totals levels(timestamp now);
 
@@ -134,7 +134,7 @@
     };
 
     /// Demand of a team in units per second, on this instance and on all instances.
-    struct demand_view
+    struct team_demand
     {
         double own = 0;
         double all = 0;
@@ -148,11 +148,11 @@
     {
         return now - peer.heardAt > m_options.reportTimeout.timeout(m_peers.size(), peer.period);
     }
-    void refill(timestamp now, std::string_view team, bucket &account);
-    double silentPeerRate(const bucket &account) const;
-    demand_view demandOf(std::string_view team, const bucket &account) const;
+    void refill(timestamp now, std::string_view team, bucket &teamBucket);
+    double silentPeerRate(const bucket &teamBucket) const;
+    team_demand demandOf(std::string_view team, const bucket &teamBucket) const;
     /// Returns the level below which each instance admits only its share of the rate.
-    double sharingThreshold(const demand_view &demand, const bucket &account) const;
+    double sharingThreshold(const team_demand &demand, const bucket &teamBucket) const;
 
     team_limit_options m_options;
     std::map<std::string, bucket, std::less<>> m_buckets;
--- a/libs/dispatch/include/dispatch/weights_plan.h
+++ b/libs/dispatch/include/dispatch/weights_plan.h
@@ -23,18 +23,19 @@
     /// Number of orders that the server must have accepted before, so that an order delayed in
     /// transit can't override a newer one.
     std::uint64_t expectedOrders = 0;
-    /// Fencing token: epoch of the duty under which the order is sent.
+    /// Fencing token: epoch of the leader lease under which the order is sent.
     std::uint64_t epoch = 0;
 };
 
 /// Answer of a server to an order.
 enum class order_answer {
-    /// The server loads or already runs the ordered weights.
+    /// The server loads the ordered weights.
     Accepted,
-    /// Another order is in progress, or the server has accepted a different number of orders than
-    /// expected.
+    /// Another order is in progress, the server has accepted a different number of orders than
+    /// expected, or the order is already in effect. The order state must be read again.
     Conflict,
-    /// Another server answers at the address, or the server refused permanently.
+    /// The connection was refused, another server answers at the address, or the server answered
+    /// with an error.
     Refused,
     /// No answer: the order may be executed now, later or never.
     Unknown
@@ -67,11 +68,11 @@
     duration retryAfter = std::chrono::milliseconds(500);
 };
 
-/// Rolls the newest weights out to all servers of a model, to a share of each pool at a time, in
-/// order of the oldest weights and then the least load. Run only by the holder of the duty. A pure
-/// state machine; not thread-safe.
+/// Rolls the target weights out to all servers of a model, to a share of each pool at a time, in
+/// order of the oldest weights and then the least load. Run only by the leader. A pure state
+/// machine; not thread-safe.
 ///
-/// Handles several versions announced within seconds under load: superseded versions are skipped,
+/// Handles several target versions set within seconds under load: superseded versions are skipped,
 /// and enough servers stay in service to take the load.
 class weights_plan
 {
@@ -94,22 +95,22 @@
         std::span<const registered_server> servers;
         /// Number of running requests by server.
         std::map<std::string, int, std::less<>> running;
-        /// Newest announced weights version by model.
-        std::map<std::string, std::uint64_t, std::less<>> newest;
-        /// Servers to which a previous holder may have sent an order recently, with the time until
-        /// which they get no orders from this holder.
+        /// Newest target version of the weights, by model.
+        std::map<std::string, std::uint64_t, std::less<>> targetWeights;
+        /// Servers to which a previous leader may have sent an order recently, with the time until
+        /// which they get no orders from this one.
         std::map<std::string, timestamp, std::less<>> blockedUntil;
         /// Servers that this instance can't reach; they are neither polled nor sent orders.
         std::set<std::string, std::less<>> unreachable;
     };
 
     /// Returns the actions due at @p now. @p epoch goes with each order.
-    actions next(timestamp now, std::uint64_t epoch, const inputs &known);
+    actions next(timestamp now, std::uint64_t epoch, const inputs &input);
     /// Takes the answer to an order.
     void onAnswer(timestamp now, std::string_view server, order_answer answer);
     /// Takes the order state that @p server reported; @p state is null if it didn't answer.
     void onState(timestamp now, std::string_view server, const order_state *state);
-    /// Clears all progress. Call when the duty has been taken over.
+    /// Clears all progress. Call when this instance has become the leader.
     void reset() { m_progress.clear(); }
 
     /// Returns the servers that have an order in progress.
@@ -117,15 +118,18 @@
 
 private:
     enum class stage { Idle, Ordered, Loading };
+    /// Progress of one server's order.
     struct progress
     {
         std::uint64_t startedAtMs = 0;
         stage current = stage::Idle;
         std::string model;
         std::uint64_t version = 0;
-        bool ordersKnown = false;
+        bool isOrderCountKnown = false;
         std::uint64_t acceptedOrders = 0;
+        /// Time at which the order was sent or accepted.
         timestamp since;
+        /// Time until which the server is neither polled nor sent an order.
         timestamp notBefore;
         bool isPolling = false;
         bool wasPolled = false;
--- a/libs/dispatch/src/cached_parts.h
+++ b/libs/dispatch/src/cached_parts.h
@@ -15,10 +15,10 @@
 /// Time of last use of the parts assumed to be in a KV cache, by cachedPartKey().
 using cached_parts = std::unordered_map<std::uint64_t, timestamp>;
 
-/// Returns the key of @p part in the KV-cache namespace @p cacheName. Thread-safe.
-inline std::uint64_t cachedPartKey(std::string_view cacheName, std::string_view part)
+/// Returns the key of @p part in the KV cache with the salt @p cacheSalt. Thread-safe.
+inline std::uint64_t cachedPartKey(std::string_view cacheSalt, std::string_view part)
 {
-    return hash64(part, hash64(cacheName));
+    return hash64(part, hash64(cacheSalt));
 }
 
 /// Returns whether @p key was used recently enough to be assumed cached at @p now. Thread-safe.
--- a/libs/dispatch/src/leader_lease.cpp
+++ b/libs/dispatch/src/leader_lease.cpp
@@ -10,7 +10,7 @@
 constexpr duration readInterval = std::chrono::milliseconds(400);
 /// Time between reads after a write with an unknown outcome. Short, because the lease is expiring.
 constexpr duration retryInterval = std::chrono::milliseconds(100);
-/// Margin between the end of a lease and a take-over, for clocks with different rates.
+/// Margin between the end of a lease and a takeover, for clocks with different rates.
 constexpr duration clockMargin = std::chrono::milliseconds(200);
 
 } // namespace
@@ -24,14 +24,14 @@
     value["released"] = record.isReleased;
     value["settled"] = record.isSettled;
     value["named_at_ms"] = Json::Value(Json::objectValue);
-    for (auto it = record.namedAtMs.begin(); it != record.namedAtMs.end(); ++it)
+    for (auto it = record.targetSetAtMs.begin(); it != record.targetSetAtMs.end(); ++it)
         value["named_at_ms"][it->first] = Json::UInt64(it->second);
     return writeJson(value);
 }
 
 std::optional<leader_record> parseLeaderRecord(std::string_view text)
 {
-    const result<Json::Value> value = parseJson(text, "duty record");
+    const result<Json::Value> value = parseJson(text, "leader record");
     if (!value || !value->isObject() || !(*value)["holder"].isString())
         return std::nullopt;
     leader_record record {.holder = textOr(*value, "holder"),
@@ -43,35 +43,35 @@
     if (named.isObject()) {
         for (auto it = named.begin(); it != named.end(); ++it) {
             if (it->isUInt64())
-                record.namedAtMs[it.name()] = it->asUInt64();
+                record.targetSetAtMs[it.name()] = it->asUInt64();
         }
     }
     return record;
 }
 
-store_call leader_lease::next(timestamp now, int rank, bool isLeaderAlive, bool mayHold)
+store_call leader_lease::next(timestamp now, int rank, bool isLeaderAlive, bool mayLead)
 {
     if (isOwn()) {
         if (m_mustRead)
             return now - m_readAt >= retryInterval ? store_call::Read : store_call::None;
-        if (!mayHold)
+        if (!mayLead)
             return m_record.isReleased ? store_call::None : store_call::Write;
         if (now < m_writeStartedAt + m_options.renewInterval)
             return store_call::None;
         // An expired lease may have been taken over: read before writing.
         return now < m_heldUntil ? store_call::Write : store_call::Read;
     }
-    if (!mayHold || isLeaderAlive) {
+    if (!mayLead || isLeaderAlive) {
         m_noLeaderSince.reset();
         return store_call::None;
     }
-    // Instances of low rank read first; in a large fleet the others hear of a holder before their
+    // Instances of low rank read first; in a large fleet the others hear of a leader before their
     // own delay ends.
     if (!m_noLeaderSince)
         m_noLeaderSince = now;
     if (now - *m_noLeaderSince < m_options.firstReadDelay * rank)
         return store_call::None;
-    // No wait if the duty was released or never held, or if the record names this instance.
+    // No wait if the lease was released or never held, or if the record names this instance.
     const bool isFree = m_record.isReleased || m_record.holder.empty() || m_isOwnEarlierRecord;
     const duration leaseWait = isFree ? duration::zero() : m_options.leaseDuration + clockMargin;
     const duration rankWait = m_isOwnEarlierRecord ? duration::zero() : m_options.rankDelay * rank;
@@ -126,21 +126,21 @@
         m_isKnown = m_isKnown && isOwn();
         return;
     }
-    const bool isTakeOver = !isOwn();
+    const bool isTakeover = !isOwn();
     const leader_record before = m_record;
     m_record = m_writing;
     m_revision = *revision;
     m_isHeld = true;
     m_isKnown = true;
     m_heldUntil = m_writeStartedAt + m_options.leaseDuration;
-    if (!isTakeOver)
+    if (!isTakeover)
         return;
     if (before.holder.empty() || (m_isOwnEarlierRecord && before.isSettled)) {
         m_settledFrom = now;
         m_actsFrom = now;
         return;
     }
-    // An earlier record of this instance that isn't settled doesn't tell when the previous holder
+    // An earlier record of this instance that isn't settled doesn't tell when the previous leader
     // last acted.
     timestamp previousLeaseEnd = now;
     if (!m_isOwnEarlierRecord)
--- a/libs/dispatch/src/load_balancer.cpp
+++ b/libs/dispatch/src/load_balancer.cpp
@@ -25,14 +25,15 @@
 constexpr duration requestedProbeInterval = std::chrono::milliseconds(1500);
 /// Weight of the newest measurement in a server's average latency.
 constexpr double latencyWeight = 0.1;
-/// Maximum number of parts remembered for a server and for a KV-cache store.
+/// Maximum number of parts remembered for a server and for a KV cache store.
 constexpr std::size_t maxParts = 4096;
 constexpr std::size_t maxStoreParts = 65536;
 /// Maximum number of placements kept for the next report.
 constexpr std::size_t maxCachePlacements = 256;
 /// Upper bound of the time that one prompt is assumed to occupy a store's link.
 constexpr duration maxStoreTransferTime = std::chrono::milliseconds(500);
-/// Time for which a server gets no requests when it runs none of the announced weights.
+/// Time for which a server gets no requests after it refused a weights version, if no newer target
+/// version is known.
 constexpr duration weightsMismatchBackoff = std::chrono::milliseconds(400);
 
 template <typename Parts>
@@ -46,7 +47,7 @@
 
 } // namespace
 
-std::string cacheNameOf(std::string_view model, std::uint64_t weights,
+std::string cacheSaltOf(std::string_view model, std::uint64_t weights,
                         std::string_view isolatedTeam)
 {
     std::string name(model);
@@ -153,10 +154,10 @@
     store->epoch = epoch;
 }
 
-void load_balancer::addAnnouncedWeights(std::string_view model, std::uint64_t version,
-                                        timestamp since)
+void load_balancer::addTargetWeights(std::string_view model, std::uint64_t version, timestamp since)
 {
-    timestamp &known = m_announced[std::string(model)].try_emplace(version, since).first->second;
+    timestamp &known =
+        m_targetWeights[std::string(model)].try_emplace(version, since).first->second;
     known = std::min(known, since);
 }
 
@@ -194,10 +195,10 @@
     if (state == nullptr)
         return;
     state->guessedWeights = 0;
-    const auto announced = m_announced.find(model);
-    if (announced != m_announced.end()) {
-        const auto next = announced->second.upper_bound(tried);
-        if (next != announced->second.end())
+    const auto targets = m_targetWeights.find(model);
+    if (targets != m_targetWeights.end()) {
+        const auto next = targets->second.upper_bound(tried);
+        if (next != targets->second.end())
             state->guessedWeights = next->first;
     }
     if (state->guessedWeights == 0)
@@ -223,10 +224,10 @@
     return runs == state.info.weights.end() ? 0 : runs->second;
 }
 
-std::map<std::string, std::uint64_t, std::less<>> load_balancer::newestWeights() const
+std::map<std::string, std::uint64_t, std::less<>> load_balancer::newestTargetWeights() const
 {
     std::map<std::string, std::uint64_t, std::less<>> newest;
-    for (auto it = m_announced.begin(); it != m_announced.end(); ++it)
+    for (auto it = m_targetWeights.begin(); it != m_targetWeights.end(); ++it)
         newest[it->first] = it->second.rbegin()->first;
     return newest;
 }
@@ -293,7 +294,7 @@
                          .memoryTokens = placed.memoryTokens,
                          .expectedMs = placed.expectedMs,
                          .startedAt = now,
-                         .isModel = !placed.cacheName.empty()};
+                         .isModel = !placed.cacheSalt.empty()};
     if (server != nullptr) {
         server_load &own = server->own;
         own.running += 1;
@@ -305,7 +306,7 @@
                                    .isStored = placed.cacheSink.has_value(),
                                    .storeTransferMs = placed.storeTransferMs};
             for (std::size_t i = 0; i + 1 < request.prompt.size(); ++i)
-                parts.parts.push_back(cachedPartKey(placed.cacheName, request.prompt[i].id));
+                parts.parts.push_back(cachedPartKey(placed.cacheSalt, request.prompt[i].id));
             addCachePlacements(now, std::span(&parts, 1));
             if (m_placed.size() < maxCachePlacements)
                 m_placed.push_back(std::move(parts));
--- a/libs/dispatch/src/member_table.cpp
+++ b/libs/dispatch/src/member_table.cpp
@@ -144,7 +144,8 @@
     return found != m_members.end() && found->second.leaderEpoch == epoch && epoch != 0;
 }
 
-std::vector<endpoint> member_table::entry(timestamp now, std::string_view zone, bool isSelfUsable)
+std::vector<endpoint> member_table::callerAddresses(timestamp now, std::string_view zone,
+                                                    bool isSelfUsable)
 {
     std::vector<const member_state *> inZone;
     std::vector<const member_state *> all;
@@ -160,8 +161,8 @@
     for (const member_state *each : preferLarge(
              now, inZone.size() >= m_options.minInZone ? std::move(inZone) : std::move(all)))
         addresses.push_back(each->entry.callers);
-    if (addresses.size() > m_options.maxEntryInstances)
-        addresses.resize(m_options.maxEntryInstances);
+    if (addresses.size() > m_options.maxCallerAddresses)
+        addresses.resize(m_options.maxCallerAddresses);
     return addresses;
 }
 
--- a/libs/dispatch/src/peer_report.cpp
+++ b/libs/dispatch/src/peer_report.cpp
@@ -107,7 +107,7 @@
     return std::string(model) + "=" + std::to_string(version);
 }
 
-std::optional<weights_name> parseWeightsKey(std::string_view text)
+std::optional<weights_key> parseWeightsKey(std::string_view text)
 {
     const std::size_t end = text.rfind('=');
     if (end == std::string_view::npos)
@@ -115,7 +115,7 @@
     const std::optional<std::uint64_t> version = parseDecimal(text.substr(end + 1));
     if (!version)
         return std::nullopt;
-    return weights_name {.model = std::string(text.substr(0, end)), .version = *version};
+    return weights_key {.model = std::string(text.substr(0, end)), .version = *version};
 }
 
 std::string toText(const peer_report &report)
@@ -132,7 +132,7 @@
     addNonEmpty(value, "revisions", numbersToJson(report.revisions));
     addNonEmpty(value, "load", loadToJson(report.load));
     addNonEmpty(value, "admitted", numbersToJson(report.admitted));
-    addNonEmpty(value, "asked_rates", numbersToJson(report.askedRates));
+    addNonEmpty(value, "asked_rates", numbersToJson(report.demandRates));
     addNonEmpty(value, "levels", numbersToJson(report.levels));
     addNonEmpty(value, "placed", placedToJson(report.placed));
     addNonEmpty(value, "crashes", crashesToJson(report.crashes));
@@ -140,7 +140,7 @@
     addNonEmpty(value, "gone", namesToJson(report.gone));
     addNonEmpty(value, "unreachable", namesToJson(report.unreachable));
     addNonEmpty(value, "weights", numbersToJson(report.weights));
-    addNonEmpty(value, "named_age_ms", numbersToJson(report.namedAgeMs));
+    addNonEmpty(value, "named_age_ms", numbersToJson(report.targetAgeMs));
     if (report.leaderEpoch != 0)
         value["duty_epoch"] = Json::UInt64(report.leaderEpoch);
     if (report.storeHeardAgoMs)
--- a/libs/dispatch/src/release_shares.cpp
+++ b/libs/dispatch/src/release_shares.cpp
@@ -58,7 +58,7 @@
             state.stage = rollout_stage::RolledBack;
             changed.push_back(it->first);
         } else if (now - state.seenAt
-                       >= fromSeconds(toSeconds(state.request->time) * m_options.doneAt)
+                       >= fromSeconds(toSeconds(state.request->rampTime) * m_options.doneAt)
                    && share(now, state) >= 1) {
             state.stage = rollout_stage::Done;
             changed.push_back(it->first);
@@ -74,10 +74,10 @@
     if (state.stage == rollout_stage::RolledBack)
         return 0;
     const double age = toSeconds(now - state.seenAt);
-    const double whole = toSeconds(state.request->time);
-    const bool isTried =
+    const double rampSeconds = toSeconds(state.request->rampTime);
+    const bool hasMinRequests =
         state.outcomes.total(state.request->release).requests >= m_options.minRequests;
-    return age >= whole * m_options.moveAt && isTried ? 1 : m_options.canaryShare;
+    return age >= rampSeconds * m_options.moveAt && hasMinRequests ? 1 : m_options.canaryShare;
 }
 
 bool release_shares::allows(timestamp now, std::string_view service, std::string_view release,
--- a/libs/dispatch/src/report_reader.cpp
+++ b/libs/dispatch/src/report_reader.cpp
@@ -131,11 +131,11 @@
     forEach<value_list>(fields, "crashes", [&report](const value_list &items) {
         const std::optional<std::string_view> request = as<std::string_view>(items.at(0));
         const std::optional<std::string_view> event = as<std::string_view>(items.at(1));
-        crash_record note;
-        if (!request || !event || !fromHex(*request, note.request))
+        crash_record crash;
+        if (!request || !event || !fromHex(*request, crash.request))
             return;
-        note.event = std::string(*event);
-        report.crashes.push_back(std::move(note));
+        crash.event = std::string(*event);
+        report.crashes.push_back(std::move(crash));
     });
 }
 
@@ -162,7 +162,7 @@
     readNumbers(fields, "revisions", report.revisions);
     readLoad(fields, report);
     readNumbers(fields, "admitted", report.admitted);
-    readNumbers(fields, "asked_rates", report.askedRates);
+    readNumbers(fields, "asked_rates", report.demandRates);
     readNumbers(fields, "levels", report.levels);
     readPlaced(fields, report);
     readCrashes(fields, report);
@@ -170,7 +170,7 @@
     readNames(fields, "gone", report.gone);
     readNames(fields, "unreachable", report.unreachable);
     readNumbers(fields, "weights", report.weights);
-    readNumbers(fields, "named_age_ms", report.namedAgeMs);
+    readNumbers(fields, "named_age_ms", report.targetAgeMs);
     readNumbers(fields, "stores", report.storeEpochs);
     readReleases(fields, report);
     return report;
--- a/libs/dispatch/src/server_selection.cpp
+++ b/libs/dispatch/src/server_selection.cpp
@@ -42,13 +42,13 @@
 double load_balancer::staleWeightsCost(timestamp now, const server_state &state,
                                        const request_profile &request) const
 {
-    const auto announced = m_announced.find(request.model);
-    if (announced == m_announced.end())
+    const auto targets = m_targetWeights.find(request.model);
+    if (targets == m_targetWeights.end())
         return 0;
     const std::uint64_t version = weightsOf(state, request.model);
-    // The limit counts from the first newer version, even if more have been announced since.
-    const auto newer = announced->second.upper_bound(version);
-    if (newer == announced->second.end() || now - newer->second < m_options.staleWeightsDelay)
+    // The time counts from the first newer version, even if further ones were set since.
+    const auto newer = targets->second.upper_bound(version);
+    if (newer == targets->second.end() || now - newer->second < m_options.staleWeightsDelay)
         return 0;
     return now - newer->second < m_options.staleWeightsLimit
         ? m_options.staleWeightsCostMs
@@ -105,8 +105,8 @@
 {
     if (tokens <= 0 || engine.linkMbps <= 0)
         return 0;
-    const double ownMbps = source.store != nullptr ? source.store->info.linkMbps : 0;
-    const double mbps = ownMbps > 0 ? std::min(ownMbps, engine.linkMbps) : engine.linkMbps;
+    const double storeMbps = source.store != nullptr ? source.store->info.linkMbps : 0;
+    const double mbps = storeMbps > 0 ? std::min(storeMbps, engine.linkMbps) : engine.linkMbps;
     const std::string &zone =
         source.store != nullptr ? source.store->info.zone : source.engine->info.zone;
     const double ms = tokens * engine.bytesPerToken * bitsPerByte / (mbps * bitsPerMsPerMbps);
@@ -118,7 +118,7 @@
                                    const prompt_affinity &affinity, server_placement &placed) const
 {
     placed.weights = weightsOf(state, request.model);
-    placed.cacheName = cacheNameOf(request.model, placed.weights, request.isolatedTeam);
+    placed.cacheSalt = cacheSaltOf(request.model, placed.weights, request.isolatedTeam);
     double copiedTokens = 0;
     bool isHeld = true;
     bool isStored = true;
@@ -128,7 +128,7 @@
     for (std::size_t i = 0; i < request.prompt.size(); ++i) {
         const prompt_part &part = request.prompt[i];
         const bool isPrivate = i + 1 == request.prompt.size();
-        const std::uint64_t key = cachedPartKey(placed.cacheName, part.id);
+        const std::uint64_t key = cachedPartKey(placed.cacheSalt, part.id);
         sharedTokens += isPrivate ? 0 : part.tokens;
         isHeld = isHeld && !isPrivate && isLikelyCached(state.parts, key, now);
         if (isHeld)
@@ -157,7 +157,7 @@
         // The engine may have evicted parts that it is assumed to hold, and the store may hold
         // parts that this instance doesn't know of. A miss costs only a millisecond.
         const std::uint64_t lastShared =
-            cachedPartKey(placed.cacheName, request.prompt[request.prompt.size() - 2].id);
+            cachedPartKey(placed.cacheSalt, request.prompt[request.prompt.size() - 2].id);
         copySource = findSource(now, state, lastShared, affinity);
         if (copySource.engine == nullptr)
             copySource.store = affinity.store;
@@ -187,12 +187,12 @@
 const load_balancer::store_state *load_balancer::assignedStore(std::uint64_t prefixHash) const
 {
     const store_state *best = nullptr;
-    std::uint64_t bestRank = 0;
+    std::uint64_t bestScore = 0;
     for (const store_state &store : m_stores) {
-        const std::uint64_t rank = hash64(store.name, prefixHash);
-        if (best == nullptr || rank > bestRank) {
+        const std::uint64_t score = hash64(store.name, prefixHash);
+        if (best == nullptr || score > bestScore) {
             best = &store;
-            bestRank = rank;
+            bestScore = score;
         }
     }
     return best;
@@ -223,15 +223,15 @@
     const bool hasStorePerZone = m_stores.size() > 1;
     const std::string &zone = hasStorePerZone ? store->info.zone : m_options.zone;
     std::string best;
-    std::uint64_t bestRank = 0;
+    std::uint64_t bestScore = 0;
     for (auto it = m_servers.begin(); it != m_servers.end(); ++it) {
         const registered_server &info = it->second.info;
         if (info.service != request.service || info.isLeaving || info.zone != zone)
             continue;
-        const std::uint64_t rank = hash64(info.id, prefixHash);
-        if (best.empty() || rank > bestRank) {
+        const std::uint64_t score = hash64(info.id, prefixHash);
+        if (best.empty() || score > bestScore) {
             best = info.id;
-            bestRank = rank;
+            bestScore = score;
         }
     }
     return best;
@@ -268,7 +268,7 @@
                              const request_profile &request, const server_placement &placed,
                              std::string_view home) const
 {
-    const bool isEngine = !placed.cacheName.empty();
+    const bool isEngine = !placed.cacheSalt.empty();
     double cost = placed.expectedMs;
     if (isEngine)
         cost += staleWeightsCost(now, state, request)
@@ -281,7 +281,7 @@
 }
 
 std::optional<server_placement>
-load_balancer::chooseAmong(timestamp now, const request_profile &request, bool isLastResort)
+load_balancer::chooseAmong(timestamp now, const request_profile &request, bool includesUnreachable)
 {
     const auto found = m_engines.find(request.service);
     const bool isEngine = found != m_engines.end() && !request.model.empty();
@@ -294,7 +294,7 @@
     std::uniform_real_distribution<double> tieBreak(0, 1);
     for (auto it = m_servers.begin(); it != m_servers.end(); ++it) {
         const server_state &state = it->second;
-        if (!mayTake(now, state, request) || (state.isUnreachable && !isLastResort))
+        if (!mayTake(now, state, request) || (state.isUnreachable && !includesUnreachable))
             continue;
         server_placement placed = estimate(now, state, request, engine, affinity);
         const double cost = costOf(now, state, request, placed, affinity.home) + tieBreak(m_random);
--- a/libs/dispatch/src/serving_tables.cpp
+++ b/libs/dispatch/src/serving_tables.cpp
@@ -18,10 +18,10 @@
 
 const served_team *serving_tables::findTeam(std::string_view key) const
 {
-    const auto holder = teamOfKey.find(std::string(key));
-    if (holder == teamOfKey.end())
+    const auto teamName = teamOfKey.find(std::string(key));
+    if (teamName == teamOfKey.end())
         return nullptr;
-    const auto found = teams.find(holder->second);
+    const auto found = teams.find(teamName->second);
     return found == teams.end() ? nullptr : &found->second;
 }
 
--- a/libs/dispatch/src/team_limits.cpp
+++ b/libs/dispatch/src/team_limits.cpp
@@ -53,22 +53,22 @@
     found->second.level = std::min(found->second.level, burst);
 }
 
-double team_limits::silentPeerRate(const bucket &account) const
+double team_limits::silentPeerRate(const bucket &teamBucket) const
 {
-    return account.rate / static_cast<double>(m_peers.size() + 1);
+    return teamBucket.rate / static_cast<double>(m_peers.size() + 1);
 }
 
-void team_limits::refill(timestamp now, std::string_view team, bucket &account)
+void team_limits::refill(timestamp now, std::string_view team, bucket &teamBucket)
 {
-    const double elapsed = toSeconds(now - account.filledAt);
+    const double elapsed = toSeconds(now - teamBucket.filledAt);
     if (elapsed <= 0)
         return;
-    account.filledAt = now;
+    teamBucket.filledAt = now;
     double spentElsewhere = 0;
     for (auto it = m_peers.begin(); it != m_peers.end(); ++it) {
         peer_state &peer = it->second;
         if (isSilent(now, peer)) {
-            spentElsewhere += silentPeerRate(account) * elapsed;
+            spentElsewhere += silentPeerRate(teamBucket) * elapsed;
             continue;
         }
         const auto usage = peer.teams.find(team);
@@ -78,19 +78,20 @@
         usage->second.expected += expected;
         spentElsewhere += expected;
     }
-    account.level =
-        std::min(account.burst, account.level + account.rate * elapsed - spentElsewhere);
-    account.demand *= std::exp(-elapsed / toSeconds(m_options.demandTime));
-    const double ownRate = account.rate * demandOf(team, account).share();
+    teamBucket.level =
+        std::min(teamBucket.burst, teamBucket.level + teamBucket.rate * elapsed - spentElsewhere);
+    teamBucket.demand *= std::exp(-elapsed / toSeconds(m_options.demandTime));
+    const double ownRate = teamBucket.rate * demandOf(team, teamBucket).share();
     // Kept small, because all instances may spend their saved allowances at once.
-    const double maxAllowance =
-        std::max({account.allowance, ownRate * allowanceSeconds, account.size * allowanceRequests});
-    account.allowance = std::min(account.allowance + ownRate * elapsed, maxAllowance);
+    const double maxAllowance = std::max(
+        {teamBucket.allowance, ownRate * allowanceSeconds, teamBucket.size * allowanceRequests});
+    teamBucket.allowance = std::min(teamBucket.allowance + ownRate * elapsed, maxAllowance);
 }
 
-team_limits::demand_view team_limits::demandOf(std::string_view team, const bucket &account) const
+team_limits::team_demand team_limits::demandOf(std::string_view team,
+                                               const bucket &teamBucket) const
 {
-    demand_view demand {.own = account.demand / toSeconds(m_options.demandTime)};
+    team_demand demand {.own = teamBucket.demand / toSeconds(m_options.demandTime)};
     demand.all = demand.own;
     for (auto it = m_peers.begin(); it != m_peers.end(); ++it) {
         const auto usage = it->second.teams.find(team);
@@ -102,15 +103,15 @@
     return demand;
 }
 
-double team_limits::sharingThreshold(const demand_view &demand, const bucket &account) const
+double team_limits::sharingThreshold(const team_demand &demand, const bucket &teamBucket) const
 {
     // The figures of other instances are up to a report period old, so a rise in demand on this
     // instance is assumed to affect all instances.
     const double excess =
-        std::max(demand.all, demand.own * demand.requesters * surgeShare) - account.rate;
+        std::max(demand.all, demand.own * demand.requesters * surgeShare) - teamBucket.rate;
     const double overshoot = std::max(0.0, excess) * toSeconds(m_options.reportLag);
-    return std::clamp(overshoot, account.burst * m_options.minSharedLevel,
-                      account.burst * m_options.maxSharedLevel);
+    return std::clamp(overshoot, teamBucket.burst * m_options.minSharedLevel,
+                      teamBucket.burst * m_options.maxSharedLevel);
 }
 
 std::optional<duration> team_limits::admit(timestamp now, std::string_view team, double units)
@@ -118,27 +119,27 @@
     const auto found = m_buckets.find(team);
     if (found == m_buckets.end() || found->second.rate <= 0)
         return std::nullopt;
-    bucket &account = found->second;
-    refill(now, team, account);
-    account.demand += units;
-    account.size += (units - account.size) * (account.size > 0 ? sizeWeight : 1);
-    if (account.level <= 0)
-        return fromSeconds((units - account.level) / account.rate);
-    const demand_view demand = demandOf(team, account);
-    const bool isShared = account.level < sharingThreshold(demand, account);
-    if (isShared && account.allowance <= 0)
-        return fromSeconds((units - account.allowance)
-                           / (account.rate * std::max(minShare, demand.share())));
-    account.level -= units;
+    bucket &teamBucket = found->second;
+    refill(now, team, teamBucket);
+    teamBucket.demand += units;
+    teamBucket.size += (units - teamBucket.size) * (teamBucket.size > 0 ? sizeWeight : 1);
+    if (teamBucket.level <= 0)
+        return fromSeconds((units - teamBucket.level) / teamBucket.rate);
+    const team_demand demand = demandOf(team, teamBucket);
+    const bool isShared = teamBucket.level < sharingThreshold(demand, teamBucket);
+    if (isShared && teamBucket.allowance <= 0)
+        return fromSeconds((units - teamBucket.allowance)
+                           / (teamBucket.rate * std::max(minShare, demand.share())));
+    teamBucket.level -= units;
     // Units admitted above the threshold don't count against the instance's share.
     if (isShared)
-        account.allowance -= units;
+        teamBucket.allowance -= units;
     const auto total = m_totals.try_emplace(std::string(team), 0).first;
     total->second += units;
     return std::nullopt;
 }
 
-void team_limits::giveBack(std::string_view team, double units)
+void team_limits::refund(std::string_view team, double units)
 {
     const auto found = m_buckets.find(team);
     const auto total = m_totals.find(team);
@@ -161,7 +162,7 @@
 }
 
 void team_limits::applyReport(timestamp now, std::string_view peer, std::uint64_t incarnation,
-                              const admitted_totals &admitted, const admitted_totals &askedRates,
+                              const admitted_totals &admitted, const admitted_totals &demandRates,
                               duration period)
 {
     const auto found = m_peers.find(peer);
@@ -174,25 +175,25 @@
     const double age = toSeconds(now - state.heardAt);
     const bool isKnown = state.incarnation == incarnation;
     for (auto it = admitted.begin(); it != admitted.end(); ++it) {
-        const auto account = m_buckets.find(it->first);
-        if (account == m_buckets.end())
+        const auto teamBucket = m_buckets.find(it->first);
+        if (teamBucket == m_buckets.end())
             continue;
         peer_usage &usage = state.teams[it->first];
         const double delta = it->second - (isKnown ? usage.total : 0);
         // Shortcut: in a large fleet, most instances report no change for most teams.
         if (isKnown && !wasSilent && delta == 0 && usage.rate == 0)
             continue;
-        refill(now, it->first, account->second);
+        refill(now, it->first, teamBucket->second);
         if (!wasSilent && (isKnown || state.incarnation != 0))
-            account->second.level += usage.expected - delta;
-        account->second.level = std::min(account->second.level, account->second.burst);
+            teamBucket->second.level += usage.expected - delta;
+        teamBucket->second.level = std::min(teamBucket->second.level, teamBucket->second.burst);
         usage.rate = isKnown && age > 0 ? std::max(0.0, delta / age) : 0;
         usage.total = it->second;
         usage.expected = 0;
     }
     for (auto it = state.teams.begin(); it != state.teams.end(); ++it)
         it->second.demandRate = 0;
-    for (auto it = askedRates.begin(); it != askedRates.end(); ++it)
+    for (auto it = demandRates.begin(); it != demandRates.end(); ++it)
         state.teams[it->first].demandRate = it->second;
     state.incarnation = incarnation;
     state.heardAt = now;
@@ -202,30 +203,30 @@
 void team_limits::adoptLevels(timestamp now, const admitted_totals &levels)
 {
     for (auto it = levels.begin(); it != levels.end(); ++it) {
-        const auto account = m_buckets.find(it->first);
-        if (account == m_buckets.end())
+        const auto teamBucket = m_buckets.find(it->first);
+        if (teamBucket == m_buckets.end())
             continue;
-        refill(now, it->first, account->second);
-        account->second.level = std::min(account->second.burst, it->second);
+        refill(now, it->first, teamBucket->second);
+        teamBucket->second.level = std::min(teamBucket->second.burst, it->second);
     }
 }
 
-team_limits::team_view team_limits::view(timestamp now, std::string_view team) const
+team_limits::limit_state team_limits::limitState(timestamp now, std::string_view team) const
 {
-    team_view seen;
+    limit_state state;
     const auto found = m_buckets.find(team);
     if (found != m_buckets.end()) {
-        seen.rate = found->second.rate;
-        seen.level = found->second.level;
-        seen.share = demandOf(team, found->second).share();
+        state.rate = found->second.rate;
+        state.level = found->second.level;
+        state.share = demandOf(team, found->second).share();
     }
-    seen.known = static_cast<int>(m_peers.size());
+    state.known = static_cast<int>(m_peers.size());
     for (auto it = m_peers.begin(); it != m_peers.end(); ++it)
-        seen.heard += isSilent(now, it->second) ? 0 : 1;
-    return seen;
+        state.heard += isSilent(now, it->second) ? 0 : 1;
+    return state;
 }
 
-admitted_totals team_limits::askedRates(timestamp now)
+admitted_totals team_limits::demandRates(timestamp now)
 {
     admitted_totals rates;
     for (auto it = m_buckets.begin(); it != m_buckets.end(); ++it) {
--- a/libs/dispatch/src/weights_plan.cpp
+++ b/libs/dispatch/src/weights_plan.cpp
@@ -9,14 +9,14 @@
 
 namespace {
 
-/// Returns a model whose weights on @p server are older than in @p newest, or nothing.
+/// Returns a model whose weights on @p server are older than in @p targetWeights, or nothing.
 std::optional<std::string>
 outdatedModel(const registered_server &server,
-              const std::map<std::string, std::uint64_t, std::less<>> &newest)
+              const std::map<std::string, std::uint64_t, std::less<>> &targetWeights)
 {
     for (auto it = server.weights.begin(); it != server.weights.end(); ++it) {
-        const auto wanted = newest.find(it->first);
-        if (wanted != newest.end() && it->second < wanted->second)
+        const auto wanted = targetWeights.find(it->first);
+        if (wanted != targetWeights.end() && it->second < wanted->second)
             return it->first;
     }
     return std::nullopt;
@@ -41,25 +41,25 @@
     return state;
 }
 
-weights_plan::actions weights_plan::next(timestamp now, std::uint64_t epoch, const inputs &known)
+weights_plan::actions weights_plan::next(timestamp now, std::uint64_t epoch, const inputs &input)
 {
     actions due;
     std::map<std::string, int> loadingCount;
     std::map<std::string, int> poolSize;
     std::vector<const registered_server *> waiting;
-    for (const registered_server &server : known.servers) {
+    for (const registered_server &server : input.servers) {
         if (server.weights.empty())
             continue;
         poolSize[server.service] += server.isLeaving ? 0 : 1;
         progress &state = progressOf(server);
-        const std::optional<std::string> model = outdatedModel(server, known.newest);
+        const std::optional<std::string> model = outdatedModel(server, input.targetWeights);
         if (state.current != stage::Idle) {
             // The ordered version may have been superseded meanwhile.
             const bool isDone = !model || runsOrdered(server, state.model, state.version);
             const bool isLost = now - state.since > m_options.orderTimeout;
             if (isDone || isLost) {
                 state.current = stage::Idle;
-                state.ordersKnown = isDone && state.ordersKnown;
+                state.isOrderCountKnown = isDone && state.isOrderCountKnown;
             } else {
                 loadingCount[server.service] += 1;
                 if (state.current == stage::Loading && !state.isPolling
@@ -71,30 +71,30 @@
             }
         }
         // A leaving server gets no new requests, so it doesn't need new weights.
-        if (server.isLeaving || now < state.notBefore || known.unreachable.contains(server.id))
+        if (server.isLeaving || now < state.notBefore || input.unreachable.contains(server.id))
             continue;
         // Polled in advance, so that the first order for new weights can be sent immediately.
-        if (!state.ordersKnown && !state.isPolling && (model || !state.wasPolled)) {
+        if (!state.isOrderCountKnown && !state.isPolling && (model || !state.wasPolled)) {
             state.isPolling = true;
             state.wasPolled = true;
             due.serversToPoll.push_back(server);
         }
-        const auto blocked = known.blockedUntil.find(server.id);
-        if (!model || !state.ordersKnown
-            || (blocked != known.blockedUntil.end() && now < blocked->second))
+        const auto blocked = input.blockedUntil.find(server.id);
+        if (!model || !state.isOrderCountKnown
+            || (blocked != input.blockedUntil.end() && now < blocked->second))
             continue;
         waiting.push_back(&server);
     }
     // Oldest weights first, because their time limit ends first; then the least loaded server.
-    const auto rank = [&](const registered_server *server) {
-        const auto load = known.running.find(server->id);
-        const std::string model = *outdatedModel(*server, known.newest);
+    const auto sortKey = [&](const registered_server *server) {
+        const auto load = input.running.find(server->id);
+        const std::string model = *outdatedModel(*server, input.targetWeights);
         return std::pair(server->weights.find(model)->second,
-                         load == known.running.end() ? 0 : load->second);
+                         load == input.running.end() ? 0 : load->second);
     };
     std::stable_sort(waiting.begin(), waiting.end(),
-                     [&rank](const registered_server *left, const registered_server *right) {
-                         return rank(left) < rank(right);
+                     [&sortKey](const registered_server *left, const registered_server *right) {
+                         return sortKey(left) < sortKey(right);
                      });
     for (const registered_server *server : waiting) {
         const int maxLoading = std::max(
@@ -103,11 +103,11 @@
         if (loadingCount[server->service] >= maxLoading)
             continue;
         loadingCount[server->service] += 1;
-        const std::string model = *outdatedModel(*server, known.newest);
+        const std::string model = *outdatedModel(*server, input.targetWeights);
         progress &state = progressOf(*server);
         state.current = stage::Ordered;
         state.model = model;
-        state.version = known.newest.find(model)->second;
+        state.version = input.targetWeights.find(model)->second;
         state.since = now;
         due.orders.push_back({.server = server->id,
                               .address = server->address,
@@ -134,7 +134,7 @@
         return;
     }
     state.current = stage::Idle;
-    state.ordersKnown = false;
+    state.isOrderCountKnown = false;
     state.notBefore =
         now + (answer == order_answer::Conflict ? duration::zero() : m_options.retryAfter);
 }
@@ -150,15 +150,15 @@
     if (state == nullptr) {
         // The server may have crashed and its load of weights been lost.
         known.current = stage::Idle;
-        known.ordersKnown = false;
+        known.isOrderCountKnown = false;
         known.notBefore = now + m_options.retryAfter;
         return;
     }
     known.acceptedOrders = state->acceptedOrders;
-    known.ordersKnown = true;
+    known.isOrderCountKnown = true;
     if (known.current == stage::Idle) {
         known.notBefore = state->isBusy ? now + m_options.pollInterval : now;
-        known.ordersKnown = !state->isBusy;
+        known.isOrderCountKnown = !state->isBusy;
     }
 }
 
--- a/libs/dispatch/tests/leader_lease_test.cpp
+++ b/libs/dispatch/tests/leader_lease_test.cpp
@@ -69,7 +69,7 @@
         };
         bool isStoreDown = false;
         int lastLeader = -1;
-        timestamp lastAct {};
+        timestamp lastActedAt {};
         int acts = 0;
         for (timestamp now {}; now < timestamp {} + std::chrono::seconds(60); now += stepTime) {
             isStoreDown = withProbability(isStoreDown ? 50 : 5) ? !isStoreDown : isStoreDown;
@@ -84,10 +84,11 @@
                 if (!each.lease.mayAct(now))
                     continue;
                 if (lastLeader >= 0 && lastLeader != static_cast<int>(i)) {
-                    EXPECT_GE(now - lastAct, std::chrono::milliseconds(3000)) << "seed " << seed;
+                    EXPECT_GE(now - lastActedAt, std::chrono::milliseconds(3000))
+                        << "seed " << seed;
                 }
                 lastLeader = static_cast<int>(i);
-                lastAct = now;
+                lastActedAt = now;
                 ++acts;
             }
         }
@@ -99,41 +100,41 @@
 {
     fake_store store {.record = leader_record {.holder = "b", .epoch = 4, .isSettled = true},
                       .revision = 9};
-    candidate again("b");
+    candidate restarted("b");
     timestamp now {};
     // Its rank of 2 would delay another candidate, but not the one that the record names.
-    for (int i = 0; i < 4 && !again.lease.mayAct(now); ++i, now += stepTime)
-        stepCandidate(now, again, 2, false, store, false, false);
-    EXPECT_TRUE(again.lease.mayAct(now));
-    EXPECT_EQ(again.lease.epoch(), 5u);
+    for (int i = 0; i < 4 && !restarted.lease.mayAct(now); ++i, now += stepTime)
+        stepCandidate(now, restarted, 2, false, store, false, false);
+    EXPECT_TRUE(restarted.lease.mayAct(now));
+    EXPECT_EQ(restarted.lease.epoch(), 5u);
     EXPECT_LE(now - timestamp {}, std::chrono::milliseconds(200));
 }
 
 TEST(LeaderLease, RestartedLeaderWithAnUnsettledRecordWaits)
 {
     fake_store store {.record = leader_record {.holder = "b", .epoch = 4}, .revision = 9};
-    candidate again("b");
+    candidate restarted("b");
     timestamp now {};
     for (; now < timestamp {} + std::chrono::seconds(3); now += stepTime) {
-        stepCandidate(now, again, 0, false, store, false, false);
-        EXPECT_FALSE(again.lease.mayAct(now));
+        stepCandidate(now, restarted, 0, false, store, false, false);
+        EXPECT_FALSE(restarted.lease.mayAct(now));
     }
     for (; now < timestamp {} + std::chrono::seconds(4); now += stepTime)
-        stepCandidate(now, again, 0, false, store, false, false);
-    EXPECT_TRUE(again.lease.mayAct(now));
+        stepCandidate(now, restarted, 0, false, store, false, false);
+    EXPECT_TRUE(restarted.lease.mayAct(now));
 }
 
 TEST(LeaderLease, LeaderSuspendedPastItsLeaseDoesNotAct)
 {
     fake_store store;
-    candidate holder("a");
+    candidate leader("a");
     timestamp now {};
     for (int i = 0; i < 4; ++i, now += stepTime)
-        stepCandidate(now, holder, 0, false, store, false, false);
-    ASSERT_TRUE(holder.lease.mayAct(now));
+        stepCandidate(now, leader, 0, false, store, false, false);
+    ASSERT_TRUE(leader.lease.mayAct(now));
     now += std::chrono::seconds(5);
-    EXPECT_FALSE(holder.lease.mayAct(now));
-    EXPECT_EQ(holder.lease.next(now, 0, false, true), store_call::Read);
+    EXPECT_FALSE(leader.lease.mayAct(now));
+    EXPECT_EQ(leader.lease.next(now, 0, false, true), store_call::Read);
 }
 
 TEST(LeaderLease, ReleasedLeaseIsTakenOverWithoutWaiting)
@@ -154,7 +155,7 @@
     int reads = 0;
     for (int rank = 0; rank < 81; ++rank) {
         leader_lease lease({.self = "m" + std::to_string(rank)});
-        // The first holder writes immediately and is heard within a report period.
+        // The first leader writes immediately and is heard within a report period.
         constexpr duration heardAfter = std::chrono::milliseconds(450);
         bool hasRead = false;
         for (duration at {}; at < std::chrono::seconds(5); at += std::chrono::milliseconds(50)) {
@@ -164,7 +165,7 @@
         reads += hasRead ? 1 : 0;
     }
     EXPECT_LE(reads, 10);
-    // If no holder appears, the instance of the highest rank reads as well.
+    // If no leader appears, the instance of the highest rank reads as well.
     leader_lease last({.self = "m80"});
     const timestamp start = timestamp {} + std::chrono::seconds(10);
     EXPECT_EQ(last.next(start, 80, false, true), store_call::None);
@@ -177,7 +178,7 @@
                                 .epoch = 7,
                                 .renewal = 12,
                                 .isReleased = true,
-                                .namedAtMs = {{"m=2", 1771762944016}}};
+                                .targetSetAtMs = {{"m=2", 1771762944016}}};
     EXPECT_EQ(parseLeaderRecord(toText(record)), record);
     EXPECT_FALSE(parseLeaderRecord("{}"));
     EXPECT_FALSE(parseLeaderRecord("not json"));
--- a/libs/dispatch/tests/load_balancer_test.cpp
+++ b/libs/dispatch/tests/load_balancer_test.cpp
@@ -170,11 +170,11 @@
     EXPECT_EQ(*balancer.choose(now, again)->cacheSource, first.address);
 }
 
-TEST(LoadBalancer, CacheNameDiffersByWeightsAndIsolatedTeam)
+TEST(LoadBalancer, CacheSaltDiffersByWeightsAndIsolatedTeam)
 {
-    EXPECT_NE(cacheNameOf("m", 1, ""), cacheNameOf("m", 2, ""));
-    EXPECT_NE(cacheNameOf("m", 1, ""), cacheNameOf("m", 1, "reef"));
-    EXPECT_NE(cacheNameOf("m", 1, "reef"), cacheNameOf("m", 1, "cove"));
+    EXPECT_NE(cacheSaltOf("m", 1, ""), cacheSaltOf("m", 2, ""));
+    EXPECT_NE(cacheSaltOf("m", 1, ""), cacheSaltOf("m", 1, "reef"));
+    EXPECT_NE(cacheSaltOf("m", 1, "reef"), cacheSaltOf("m", 1, "cove"));
     load_balancer balancer = makeBalancer(makeServers("llm", 1, true));
     timestamp now {};
     const server_placement before = *balancer.choose(now, sharedPromptRequest());
@@ -182,7 +182,7 @@
     EXPECT_EQ(balancer.choose(now, sharedPromptRequest())->missingTokens, 2900);
     balancer.onWeightsObserved(now, "llm0", "m", 2);
     const server_placement after = *balancer.choose(now, sharedPromptRequest());
-    EXPECT_NE(before.cacheName, after.cacheName);
+    EXPECT_NE(before.cacheSalt, after.cacheSalt);
     EXPECT_EQ(after.weights, 2u);
     EXPECT_EQ(after.missingTokens, 9200);
 }
@@ -206,8 +206,8 @@
     load_balancer balancer = makeBalancer(makeServers("llm", 2, true));
     timestamp now {};
     balancer.onWeightsObserved(now, "llm0", "m", 2);
-    balancer.addAnnouncedWeights("m", 2, now);
-    balancer.addAnnouncedWeights("m", 3, now + std::chrono::seconds(8));
+    balancer.addTargetWeights("m", 2, now);
+    balancer.addTargetWeights("m", 3, now + std::chrono::seconds(8));
     now += std::chrono::seconds(12);
     for (int i = 0; i < 20; ++i) {
         const std::optional<server_placement> placed = balancer.choose(now, sharedPromptRequest());
@@ -223,7 +223,7 @@
     load_balancer balancer = makeBalancer(makeServers("llm", 18, true));
     timestamp now {};
     balancer.onWeightsObserved(now, "llm0", "m", 2);
-    balancer.addAnnouncedWeights("m", 2, now);
+    balancer.addTargetWeights("m", 2, now);
     now += std::chrono::seconds(3);
     int onNew = 0;
     for (int i = 0; i < 60; ++i) {
--- a/libs/dispatch/tests/member_table_test.cpp
+++ b/libs/dispatch/tests/member_table_test.cpp
@@ -25,10 +25,10 @@
     timestamp now {};
     members.setListed(now,
                       {makeEntry("a", "z1", 1), makeEntry("b", "z1", 2), makeEntry("c", "z2", 3)});
-    EXPECT_EQ(members.entry(now, "z1", true).size(), 2u);
+    EXPECT_EQ(members.callerAddresses(now, "z1", true).size(), 2u);
     // A single instance is too few for a zone: its loss would leave the callers without one.
-    EXPECT_EQ(members.entry(now, "z2", true).size(), 3u);
-    EXPECT_EQ(members.entry(now, "z1", false).size(), 2u);
+    EXPECT_EQ(members.callerAddresses(now, "z2", true).size(), 3u);
+    EXPECT_EQ(members.callerAddresses(now, "z1", false).size(), 2u);
 }
 
 // Models a fleet of 6 instances with half a core each and 75 with an eighth of a core and a link of
@@ -44,22 +44,22 @@
     entries[2].capacity = capacityOf(0.5, 200);
     entries[3].capacity = capacityOf(0.12, 10);
     members.setListed(now, entries);
-    EXPECT_EQ(members.entry(now, "z1", true),
+    EXPECT_EQ(members.callerAddresses(now, "z1", true),
               (std::vector<endpoint> {entries[1].callers, entries[2].callers}));
     members.noteDelay("b", std::chrono::milliseconds(100));
     members.noteDelay("c", std::chrono::milliseconds(20));
-    EXPECT_EQ(members.entry(now, "z1", true).size(), 4u);
+    EXPECT_EQ(members.callerAddresses(now, "z1", true).size(), 4u);
     // Callers stay spread for a while; otherwise the overload would return immediately.
     members.noteDelay("b", {});
     for (const char *name : {"b", "c", "d"})
         members.noteReport(now + std::chrono::seconds(5), name, 1, 1, false, 0);
-    EXPECT_EQ(members.entry(now + std::chrono::seconds(5), "z1", true).size(), 4u);
+    EXPECT_EQ(members.callerAddresses(now + std::chrono::seconds(5), "z1", true).size(), 4u);
     for (const char *name : {"b", "c", "d"})
         members.noteReport(now + std::chrono::seconds(11), name, 1, 2, false, 0);
-    EXPECT_EQ(members.entry(now + std::chrono::seconds(11), "z1", true).size(), 2u);
+    EXPECT_EQ(members.callerAddresses(now + std::chrono::seconds(11), "z1", true).size(), 2u);
     // A single large instance is too few, so callers are sent to all instances.
     members.noteReport(now + std::chrono::seconds(11), "c", 1, 3, true, 0);
-    EXPECT_EQ(members.entry(now + std::chrono::seconds(11), "z1", true).size(), 3u);
+    EXPECT_EQ(members.callerAddresses(now + std::chrono::seconds(11), "z1", true).size(), 3u);
 }
 
 TEST(MemberTable, CallersAreNotSentToLeavingOrSilentInstances)
@@ -72,7 +72,7 @@
     EXPECT_FALSE(members.isAlive(now, "b"));
     now += std::chrono::milliseconds(1100);
     EXPECT_FALSE(members.isAlive(now, "c"));
-    EXPECT_EQ(members.entry(now, "z1", true).size(), 1u);
+    EXPECT_EQ(members.callerAddresses(now, "z1", true).size(), 1u);
     EXPECT_TRUE(members.noteReport(now, "c", 1, 1, false, 0));
     EXPECT_TRUE(members.isAlive(now, "c"));
 }
--- a/libs/dispatch/tests/peer_report_test.cpp
+++ b/libs/dispatch/tests/peer_report_test.cpp
@@ -23,7 +23,7 @@
         .crashes = {{.request = digestOf("x"), .event = "s1"}},
         .loading = {"s2"},
         .weights = {{"s1=m", 4}},
-        .namedAgeMs = {{"m=4", 1500}},
+        .targetAgeMs = {{"m=4", 1500}},
         .leaderEpoch = 3,
         .releases = {{.service = "a", .release = "v2", .route = "r", .counts = {5, 1, 2}}},
         .storeEpochs = {{"10.0.0.9:1", 77}}};
@@ -44,7 +44,7 @@
     EXPECT_EQ(read->crashes[0].request, report.crashes[0].request);
     EXPECT_EQ(read->loading, report.loading);
     EXPECT_EQ(read->weights, report.weights);
-    EXPECT_EQ(read->namedAgeMs, report.namedAgeMs);
+    EXPECT_EQ(read->targetAgeMs, report.targetAgeMs);
     EXPECT_EQ(read->releases[0].counts, report.releases[0].counts);
 }
 
@@ -58,10 +58,10 @@
 
 TEST(PeerReport, WeightsKeyRoundTrips)
 {
-    const std::optional<weights_name> name = parseWeightsKey(weightsKey("a=b", 12));
-    ASSERT_TRUE(name);
-    EXPECT_EQ(name->model, "a=b");
-    EXPECT_EQ(name->version, 12u);
+    const std::optional<weights_key> key = parseWeightsKey(weightsKey("a=b", 12));
+    ASSERT_TRUE(key);
+    EXPECT_EQ(key->model, "a=b");
+    EXPECT_EQ(key->version, 12u);
     EXPECT_FALSE(parseWeightsKey("a"));
     EXPECT_FALSE(parseWeightsKey("a=x"));
 }
--- a/libs/dispatch/tests/release_shares_test.cpp
+++ b/libs/dispatch/tests/release_shares_test.cpp
@@ -22,7 +22,7 @@
         shares.setRequest(now, service,
                           rollout_request {.service = service,
                                            .release = "v2",
-                                           .time = std::chrono::seconds(12)});
+                                           .rampTime = std::chrono::seconds(12)});
     }
 
     /// Serves @p count requests over @p seconds. The new release fails half of its requests from
@@ -55,7 +55,7 @@
     EXPECT_FALSE(good.shares.allows(good.now, service, "v1", 1));
 }
 
-TEST(ReleaseShares, BadReleaseIsTakenBackWheneverItStartsFailing)
+TEST(ReleaseShares, BadReleaseIsRolledBackWheneverItStartsFailing)
 {
     for (const double from : {0.0, 3.0, 8.0, 10.4}) {
         rollout_simulation bad;
@@ -72,7 +72,7 @@
     shares.setRequest({}, service,
                       rollout_request {.service = service,
                                        .release = "v2",
-                                       .time = std::chrono::seconds(12),
+                                       .rampTime = std::chrono::seconds(12),
                                        .reported = rollout_stage::RolledBack});
     EXPECT_FALSE(shares.allows({}, service, "v2", 1));
     EXPECT_TRUE(shares.allows({}, service, "v1", 1));
--- a/libs/dispatch/tests/team_limits_test.cpp
+++ b/libs/dispatch/tests/team_limits_test.cpp
@@ -49,7 +49,7 @@
                     || std::count(isolated.begin(), isolated.end(), to) > 0;
                 if (from != to && !isIsolated)
                     instances[to].applyReport(now, names[from], 1, instances[from].totals(),
-                                              instances[from].askedRates(now));
+                                              instances[from].demandRates(now));
             }
         }
     }
@@ -233,13 +233,13 @@
     EXPECT_TRUE(limits.admit(timestamp {}, "team", 1));
 }
 
-TEST(TeamLimits, UnitsOfARequestThatNeverRanAreReturned)
+TEST(TeamLimits, UnitsOfARequestThatNeverRanAreRefunded)
 {
     team_limits limits({});
     limits.setLimit(timestamp {}, "team", rate, burst);
     EXPECT_FALSE(limits.admit(timestamp {}, "team", burst));
     EXPECT_TRUE(limits.admit(timestamp {}, "team", 1));
-    limits.giveBack("team", burst);
+    limits.refund("team", burst);
     EXPECT_FALSE(limits.admit(timestamp {}, "team", 1));
     EXPECT_NEAR(limits.totals().at("team"), 1, 1e-9);
 }
--- a/libs/dispatch/tests/weights_plan_test.cpp
+++ b/libs/dispatch/tests/weights_plan_test.cpp
@@ -45,7 +45,7 @@
             }
             const weights_plan::actions due = plan.next(now, 1,
                                                         {.servers = servers,
-                                                         .newest = {{model, newest}},
+                                                         .targetWeights = {{model, targetVersion}},
                                                          .blockedUntil = blocked,
                                                          .unreachable = unreachable});
             for (const registered_server &each : due.serversToPoll) {
@@ -89,7 +89,7 @@
     std::set<std::string> ordersToLose;
     std::map<std::string, timestamp, std::less<>> blocked;
     std::set<std::string, std::less<>> unreachable;
-    std::uint64_t newest = 1;
+    std::uint64_t targetVersion = 1;
     int sentOrders = 0;
 };
 
@@ -102,7 +102,7 @@
     timestamp now {};
     pool.run(now, now + std::chrono::seconds(1), plan);
     EXPECT_EQ(pool.sentOrders, 0);
-    pool.newest = 2;
+    pool.targetVersion = 2;
     const std::size_t maxLoads = pool.run(now, now + std::chrono::seconds(10), plan);
     EXPECT_TRUE(pool.allRun(2));
     EXPECT_LE(maxLoads, 7u);
@@ -114,9 +114,9 @@
     simulated_pool pool(18);
     weights_plan plan({});
     timestamp now {};
-    pool.newest = 2;
+    pool.targetVersion = 2;
     pool.run(now, now + std::chrono::seconds(2), plan);
-    pool.newest = 3;
+    pool.targetVersion = 3;
     pool.run(now, now + std::chrono::seconds(9), plan);
     EXPECT_TRUE(pool.allRun(3));
     EXPECT_LE(pool.sentOrders, 18 + 14);
@@ -128,20 +128,20 @@
     pool.ordersToLose = {"s0", "s3", "s5"};
     weights_plan plan({});
     timestamp now {};
-    pool.newest = 2;
+    pool.targetVersion = 2;
     pool.run(now, now + std::chrono::seconds(10), plan);
     EXPECT_TRUE(pool.allRun(2));
 }
 
-// A quarter of the pool is unreachable when weights are announced. Orders and polls to unreachable
-// servers each blocked a thread until their timeout and counted as concurrent loads.
+// A quarter of the pool is unreachable when the target weights change. Orders and polls to
+// unreachable servers each blocked a thread until their timeout and counted as concurrent loads.
 TEST(WeightsPlan, UnreachableServersGetNoOrdersUntilReachable)
 {
     simulated_pool pool(20);
     pool.unreachable = {"s0", "s1", "s2", "s3", "s4"};
     weights_plan plan({});
     timestamp now {};
-    pool.newest = 2;
+    pool.targetVersion = 2;
     pool.run(now, now + std::chrono::seconds(8), plan);
     EXPECT_EQ(pool.sentOrders, 15);
     for (const registered_server &server : pool.servers)
@@ -156,7 +156,7 @@
     simulated_pool pool(3);
     weights_plan plan({});
     timestamp now {};
-    pool.newest = 2;
+    pool.targetVersion = 2;
     pool.run(now, now + std::chrono::seconds(4), plan);
     pool.find("s1").startedAtMs = 2;
     pool.find("s1").weights[model] = 1;
@@ -171,7 +171,7 @@
     weights_plan plan({});
     timestamp now {};
     pool.blocked = {{"s2", now + std::chrono::seconds(3)}};
-    pool.newest = 2;
+    pool.targetVersion = 2;
     pool.run(now, now + std::chrono::milliseconds(2900), plan);
     EXPECT_EQ(pool.orders["s2"], 0u);
     pool.run(now, now + std::chrono::seconds(3), plan);
@@ -181,7 +181,7 @@
 TEST(WeightsPlan, ServersWithTheOldestWeightsAreOrderedFirst)
 {
     simulated_pool pool(12);
-    pool.newest = 3;
+    pool.targetVersion = 3;
     for (int i = 0; i < 12; ++i)
         pool.servers[static_cast<std::size_t>(i)].weights[model] = i < 8 ? 2 : 1;
     weights_plan plan({.maxLoadingShare = 0.25, .minConcurrentLoads = 3});
--- a/trefoilrouter/src/edge/edge_handlers.cpp
+++ b/trefoilrouter/src/edge/edge_handlers.cpp
@@ -17,7 +17,6 @@
 namespace {
 
 using Poco::Net::HTTPResponse;
-
 using Poco::Net::HTTPServerRequest;
 using Poco::Net::HTTPServerResponse;
 
@@ -80,7 +79,7 @@
         const std::size_t liveCount = routing.members.liveOtherCount(now);
         isDegraded = liveCount < otherCount;
         isIsolated = otherCount > 0 && liveCount == 0 && !state.isStoreReachable();
-        instances = routing.members.entry(now, zone, state.isReady());
+        instances = routing.members.callerAddresses(now, zone, state.isReady());
     });
     // An instance that reaches neither a peer nor the store can't tell which instances are alive,
     // so callers must ask another one.
--- a/trefoilrouter/src/edge/edge_instance.cpp
+++ b/trefoilrouter/src/edge/edge_instance.cpp
@@ -232,8 +232,8 @@
 
 void edge_instance::probeServers(timestamp now)
 {
-    const std::vector<registered_server> due =
-        m_state.with([now](routing_state &routing) { return routing.board.serversToProbe(now); });
+    const std::vector<registered_server> due = m_state.with(
+        [now](routing_state &routing) { return routing.balancer.serversToProbe(now); });
     for (const registered_server &server : due)
         m_probeQueue.post([this, server] { probe(server); });
 }
@@ -242,7 +242,7 @@
 {
     result<byte_stream> stream = byte_stream::connect(server.address, probeTimeout);
     m_state.with([&](routing_state &routing) {
-        routing.board.onProbeResult(server.id, stream.has_value());
+        routing.balancer.onProbeResult(server.id, stream.has_value());
     });
     writeEvent(event_line("servers", "server_probed")
                    .add("server", server.id)
--- a/trefoilrouter/src/edge/edge_state.cpp
+++ b/trefoilrouter/src/edge/edge_state.cpp
@@ -34,9 +34,9 @@
 } // namespace
 
 routing_state::routing_state(const platform_settings &settings)
-    : board({.zone = settings.zone,
-             .randomSeed = hash64(settings.name),
-             .staleWeightsLimit = settings.weightsDeadline - maxServerWait}),
+    : balancer({.zone = settings.zone,
+                .randomSeed = hash64(settings.name),
+                .staleWeightsLimit = settings.weightsDeadline - maxServerWait}),
       limits({.window = settings.limitWindow}),
       members({.self = settings.name, .zone = settings.zone}),
       releases({.canaryShare = settings.maxBadReleaseShare / 2}),
--- a/trefoilrouter/src/edge/edge_state.h
+++ b/trefoilrouter/src/edge/edge_state.h
@@ -29,7 +29,7 @@
 {
     explicit routing_state(const platform_settings &settings);
 
-    load_balancer board;
+    load_balancer balancer;
     team_limits limits;
     member_table members;
     release_shares releases;
@@ -41,9 +41,9 @@
     windowed_retry_budget_options retryBudgetOptions;
     /// Divides the extra retries of the fleet among @p instances.
     void divideExtraRetries(const platform_settings &settings, std::size_t instances);
-    /// Servers on which another leader loads weights, by id, with the time it last reported the
-    /// load.
-    std::map<std::string, timestamp, std::less<>> loadingElsewhere;
+    /// Servers that load weights on another leader's orders, by id, with the time when that leader
+    /// last reported the load.
+    std::map<std::string, timestamp, std::less<>> loadsByOtherLeaders;
     /// Mean time for which this instance's threads wait for the processor.
     duration schedulingDelay {};
     /// When the platform's store last answered this instance.
--- a/trefoilrouter/src/edge/leader_runner.cpp
+++ b/trefoilrouter/src/edge/leader_runner.cpp
@@ -59,7 +59,7 @@
 {
     while (!stop.stop_requested()) {
         const std::vector<endpoint> stores =
-            m_state.with([](routing_state &routing) { return routing.board.cacheStores(); });
+            m_state.with([](routing_state &routing) { return routing.balancer.cacheStores(); });
         bool isLeader = false;
         {
             const std::lock_guard<std::mutex> lock(m_mutex);
@@ -87,8 +87,9 @@
 {
     const result<std::uint64_t> epoch = readCacheStoreEpoch(store, waitTime);
     const std::string address = toString(store);
-    m_state.with(
-        [&](routing_state &routing) { routing.board.setStoreEpoch(address, epoch.value_or(0)); });
+    m_state.with([&](routing_state &routing) {
+        routing.balancer.setStoreEpoch(address, epoch.value_or(0));
+    });
     const std::lock_guard<std::mutex> lock(m_mutex);
     const auto before = m_cacheStoreEpochs.find(address);
     if (before != m_cacheStoreEpochs.end() && (before->second != 0) != epoch.has_value())
@@ -126,7 +127,7 @@
 bool leader_runner::keepLease()
 {
     const timestamp now = boot_clock::now();
-    store_call step = store_call::None;
+    store_call call = store_call::None;
     {
         const std::lock_guard<std::mutex> lock(m_mutex);
         const leader_record record = m_lease.record();
@@ -141,13 +142,13 @@
                 : routing.members.isAnyLeaderHeard(now);
         });
         // The lease can't be given up while an order is in flight.
-        const bool mayHold = !m_state.isLeaving() || m_ordersInFlight > 0;
+        const bool mayLead = !m_state.isLeaving() || m_ordersInFlight > 0;
         const bool isReady = m_state.tables() && (isListed || m_lease.isKnown());
-        step = isReady ? m_lease.next(now, rank, isLeaderAlive, mayHold) : store_call::None;
+        call = isReady ? m_lease.next(now, rank, isLeaderAlive, mayLead) : store_call::None;
     }
-    if (step == store_call::Read)
+    if (call == store_call::Read)
         readLease();
-    else if (step == store_call::Write)
+    else if (call == store_call::Write)
         writeLease(m_state.isLeaving());
     const std::lock_guard<std::mutex> lock(m_mutex);
     const bool isLeader = m_lease.holds(boot_clock::now());
@@ -161,21 +162,21 @@
     return hasChanged;
 }
 
-bool leader_runner::knowsOrdersOf(const leader_record &holder)
+bool leader_runner::knowsOrdersOf(const leader_record &previous)
 {
-    return m_state.with([&holder](routing_state &routing) {
-        return routing.members.reportedLeadership(holder.holder, holder.epoch);
+    return m_state.with([&previous](routing_state &routing) {
+        return routing.members.reportedLeadership(previous.holder, previous.epoch);
     });
 }
 
-std::map<std::string, std::uint64_t, std::less<>> leader_runner::weightsNamedTimes()
+std::map<std::string, std::uint64_t, std::less<>> leader_runner::targetWeightsTimes()
 {
     const timestamp now = boot_clock::now();
     const std::uint64_t wall = wallMilliseconds();
     std::map<std::string, std::uint64_t, std::less<>> times;
     m_state.with([&](routing_state &routing) {
-        const auto &named = routing.board.announcedWeights();
-        for (auto model = named.begin(); model != named.end(); ++model) {
+        const auto &targetWeights = routing.balancer.targetWeights();
+        for (auto model = targetWeights.begin(); model != targetWeights.end(); ++model) {
             for (auto it = model->second.begin(); it != model->second.end(); ++it)
                 times[weightsKey(model->first, it->first)] =
                     wall - static_cast<std::uint64_t>(toMilliseconds(now - it->second));
@@ -184,16 +185,16 @@
     return times;
 }
 
-void leader_runner::applyNamedTimes(const leader_record &record)
+void leader_runner::applyTargetWeightsTimes(const leader_record &record)
 {
     const timestamp now = boot_clock::now();
     const std::uint64_t wall = wallMilliseconds();
     m_state.with([&](routing_state &routing) {
-        for (auto it = record.namedAtMs.begin(); it != record.namedAtMs.end(); ++it) {
-            const std::optional<weights_name> name = parseWeightsKey(it->first);
-            if (name && it->second <= wall)
-                routing.board.addAnnouncedWeights(
-                    name->model, name->version, now - std::chrono::milliseconds(wall - it->second));
+        for (auto it = record.targetSetAtMs.begin(); it != record.targetSetAtMs.end(); ++it) {
+            const std::optional<weights_key> key = parseWeightsKey(it->first);
+            if (key && it->second <= wall)
+                routing.balancer.addTargetWeights(
+                    key->model, key->version, now - std::chrono::milliseconds(wall - it->second));
         }
     });
 }
@@ -204,7 +205,7 @@
     if (got) {
         const std::optional<leader_record> record = parseLeaderRecord(got->value);
         if (record)
-            applyNamedTimes(*record);
+            applyTargetWeightsTimes(*record);
     }
     const std::lock_guard<std::mutex> lock(m_mutex);
     const timestamp now = boot_clock::now();
@@ -225,7 +226,7 @@
         record = m_lease.startWrite(boot_clock::now(), release);
         revision = m_lease.revision();
     }
-    record.namedAtMs = weightsNamedTimes();
+    record.targetSetAtMs = targetWeightsTimes();
     const bool knowsOrders = knowsOrdersOf(before);
     const result<std::uint64_t> written = m_store.put(leaseObject, toText(record), revision);
     if (written)
@@ -256,14 +257,14 @@
         weights_plan::inputs planInputs;
         const duration quietTime = m_state.settings().leaderQuietTime + quietMargin;
         m_state.with([&](routing_state &routing) {
-            servers = routing.board.servers();
-            planInputs.newest = routing.board.newestWeights();
-            for (std::string &server : routing.board.unreachableServers())
+            servers = routing.balancer.servers();
+            planInputs.targetWeights = routing.balancer.newestTargetWeights();
+            for (std::string &server : routing.balancer.unreachableServers())
                 planInputs.unreachable.insert(std::move(server));
             for (const registered_server &server : servers)
-                planInputs.running[server.id] = routing.board.totalLoad(now, server.id).running;
-            for (auto it = routing.loadingElsewhere.begin(); it != routing.loadingElsewhere.end();
-                 ++it)
+                planInputs.running[server.id] = routing.balancer.totalLoad(now, server.id).running;
+            for (auto it = routing.loadsByOtherLeaders.begin();
+                 it != routing.loadsByOtherLeaders.end(); ++it)
                 planInputs.blockedUntil[it->first] = it->second + quietTime;
         });
         planInputs.servers = servers;
@@ -272,19 +273,19 @@
     if (!planned.orders.empty()) {
         m_state.with([&](routing_state &routing) {
             for (const weights_order &each : planned.orders)
-                routing.board.markLoading(each.server, now + maxLoadingTime);
+                routing.balancer.markLoading(each.server, now + maxLoadingTime);
         });
         exchange.sendNow();
     }
     for (const weights_order &each : planned.orders) {
         m_ordersInFlight += 1;
-        m_queue.post([this, each] { executeOrder(each); });
+        m_queue.post([this, each] { deliverOrder(each); });
     }
     for (const registered_server &server : planned.serversToPoll)
         m_queue.post([this, server] { queryServer(server); });
 }
 
-void leader_runner::executeOrder(const weights_order &order)
+void leader_runner::deliverOrder(const weights_order &order)
 {
     order_answer answer = order_answer::Unknown;
     bool mayAct = false;
@@ -301,7 +302,8 @@
         m_plan.onAnswer(now, order.server, answer);
     }
     if (answer != order_answer::Accepted)
-        m_state.with([&](routing_state &routing) { routing.board.markLoading(order.server, now); });
+        m_state.with(
+            [&](routing_state &routing) { routing.balancer.markLoading(order.server, now); });
     m_ordersInFlight -= 1;
     writeEvent(event_line("duty", "weights_ordered")
                    .add("server", order.server)
@@ -319,8 +321,8 @@
     if (state) {
         m_state.with([&](routing_state &routing) {
             for (auto it = state->weights.begin(); it != state->weights.end(); ++it)
-                routing.board.onWeightsObserved(boot_clock::now(), server.id, it->first,
-                                                it->second);
+                routing.balancer.onWeightsObserved(boot_clock::now(), server.id, it->first,
+                                                   it->second);
         });
     } else {
         writeEvent(event_line("duty", "server_state_unknown")
--- a/trefoilrouter/src/edge/leader_runner.h
+++ b/trefoilrouter/src/edge/leader_runner.h
@@ -14,7 +14,7 @@
 
 namespace trefoil {
 
-/// Runs the tasks of the leader, which is one instance at a time: rolling out named weights to all
+/// Runs the tasks of the leader, which is one instance at a time: rolling out target weights to all
 /// servers, reporting the progress of rollouts and removing dead instances. One thread maintains
 /// the leader's lease and plans; a work queue sends the orders.
 class leader_runner
@@ -38,11 +38,13 @@
     bool keepLease();
     void readLease();
     void writeLease(bool release);
-    bool knowsOrdersOf(const leader_record &holder);
-    std::map<std::string, std::uint64_t, std::less<>> weightsNamedTimes();
-    void applyNamedTimes(const leader_record &record);
+    /// Returns whether the reports of the previous leader, and so its orders, were heard.
+    bool knowsOrdersOf(const leader_record &previous);
+    /// Returns when weights became a target, in milliseconds since 1970, by "model=version".
+    std::map<std::string, std::uint64_t, std::less<>> targetWeightsTimes();
+    void applyTargetWeightsTimes(const leader_record &record);
     void planWeights(peer_exchange &exchange);
-    void executeOrder(const weights_order &order);
+    void deliverOrder(const weights_order &order);
     void queryServer(const registered_server &server);
     void reportRollouts();
     void removeDeadMembers();
--- a/trefoilrouter/src/edge/peer_exchange.cpp
+++ b/trefoilrouter/src/edge/peer_exchange.cpp
@@ -15,21 +15,22 @@
 /// Added to the interval per other instance, so that reports don't saturate the links of a large
 /// fleet.
 constexpr duration reportIntervalPerPeer = std::chrono::milliseconds(3);
-/// Interval of instances without callers in a large fleet: a member is considered dead after three
-/// of them, before it is removed from the list.
+/// Interval of instances without callers in a large fleet. Such an instance is considered dead
+/// after three intervals, which is before its removal from the list.
 constexpr duration idleReportInterval = std::chrono::milliseconds(1500);
 /// How long an instance counts as busy after a request.
 constexpr duration busyTime = std::chrono::seconds(3);
 /// How long a change of weights is reported: many reports carry it, so that lost datagrams do no
 /// harm.
 constexpr duration weightsReportTime = std::chrono::seconds(3);
-constexpr std::uint64_t reportsPerLevels = 5;
+/// Every fifth report contains the bucket levels.
+constexpr std::uint64_t reportsPerLevelUpdate = 5;
 /// How long a server gets no requests after a report that another instance has it load weights.
 constexpr duration loadingReportLifetime = std::chrono::milliseconds(1500);
 constexpr std::size_t maxDatagramBytes = 60000;
-/// First byte of a report that its receiver relays within its zone; other reports begin with a
+/// First byte of a report that its receiver forwards within its zone; other reports begin with a
 /// brace.
-constexpr char relayMark = '+';
+constexpr char forwardMark = '+';
 
 } // namespace
 
@@ -107,29 +108,30 @@
             report.storeHeardAgoMs =
                 static_cast<std::uint64_t>(toMilliseconds(now - routing.storeAnsweredAt));
         report.delayMs = toSeconds(routing.schedulingDelay) * 1000;
-        report.load = routing.board.ownLoad();
+        report.load = routing.balancer.ownLoad();
         report.admitted = routing.limits.totals();
-        report.askedRates = routing.limits.askedRates(now);
+        report.demandRates = routing.limits.demandRates(now);
         // Only an instance that just started needs the levels, and it can wait for a few reports.
-        if (m_sequence % reportsPerLevels == 0)
+        if (m_sequence % reportsPerLevelUpdate == 0)
             report.levels = routing.limits.levels(now);
-        report.gone = routing.board.goneServers();
-        report.unreachable = routing.board.unreachableServers();
-        report.placed = routing.board.takeCachePlacements();
+        report.gone = routing.balancer.goneServers();
+        report.unreachable = routing.balancer.unreachableServers();
+        report.placed = routing.balancer.takeCachePlacements();
         for (const std::pair<timestamp, crash_record> &each : routing.localCrashes)
             report.crashes.push_back(each.second);
         for (auto it = routing.localOutcomes.begin(); it != routing.localOutcomes.end(); ++it)
             report.releases.push_back(it->second);
         for (const registered_server &server :
-             routing.board.serversWithNewWeights(now - weightsReportTime)) {
+             routing.balancer.serversWithNewWeights(now - weightsReportTime)) {
             for (auto it = server.weights.begin(); it != server.weights.end(); ++it)
                 report.weights[server.id + "=" + it->first] = it->second;
         }
-        const auto &named = routing.board.announcedWeights();
-        for (auto model = named.begin(); model != named.end(); ++model) {
+        const auto &targetWeights = routing.balancer.targetWeights();
+        for (auto model = targetWeights.begin(); model != targetWeights.end(); ++model) {
             for (auto it = model->second.begin(); it != model->second.end(); ++it)
-                report.namedAgeMs[weightsKey(model->first, it->first)] = static_cast<std::uint64_t>(
-                    std::max<std::int64_t>(0, toMilliseconds(now - it->second)));
+                report.targetAgeMs[weightsKey(model->first, it->first)] =
+                    static_cast<std::uint64_t>(
+                        std::max<std::int64_t>(0, toMilliseconds(now - it->second)));
         }
         for (const member_entry &other : routing.members.others()) {
             const bool isAlive = routing.members.isAlive(now, other.name);
@@ -141,9 +143,9 @@
         }
     });
     const std::string text = toText(report);
-    const std::string relayed = relayMark + text;
+    const std::string forwarded = forwardMark + text;
     for (const report_target &target : targets)
-        sendTo(target.to, target.isForwarded ? relayed : text);
+        sendTo(target.to, target.isForwarded ? forwarded : text);
 }
 
 void peer_exchange::sendTo(const endpoint &peer, std::string_view datagram)
@@ -159,7 +161,7 @@
 
 void peer_exchange::receive(std::string_view datagram)
 {
-    const bool isForwarded = datagram.starts_with(relayMark);
+    const bool isForwarded = datagram.starts_with(forwardMark);
     if (isForwarded)
         datagram.remove_prefix(1);
     const std::optional<peer_report> report = parsePeerReport(datagram);
@@ -202,31 +204,31 @@
     if (report.storeHeardAgoMs)
         routing.storeOutage.noteHeard(now - std::chrono::milliseconds(*report.storeHeardAgoMs));
     for (auto it = report.storeEpochs.begin(); it != report.storeEpochs.end(); ++it)
-        routing.board.setStoreEpoch(it->first, it->second);
-    routing.board.setPeerLoad(now, report.from, report.load);
-    routing.board.addCachePlacements(now, report.placed);
+        routing.balancer.setStoreEpoch(it->first, it->second);
+    routing.balancer.setPeerLoad(now, report.from, report.load);
+    routing.balancer.addCachePlacements(now, report.placed);
     for (const std::string &server : report.gone)
-        routing.board.markGone(server);
+        routing.balancer.markGone(server);
     for (const std::string &server : report.unreachable)
-        routing.board.requestProbe(now, server);
+        routing.balancer.requestProbe(now, server);
 }
 
 void peer_exchange::applyWeights(timestamp now, const peer_report &report, routing_state &routing)
 {
     for (const std::string &server : report.loading) {
-        routing.board.markLoading(server, now + loadingReportLifetime);
-        routing.loadingElsewhere[server] = now;
+        routing.balancer.markLoading(server, now + loadingReportLifetime);
+        routing.loadsByOtherLeaders[server] = now;
     }
     for (auto it = report.weights.begin(); it != report.weights.end(); ++it) {
         const std::size_t end = it->first.rfind('=');
         if (end != std::string::npos)
-            routing.board.onWeightsReported(it->first.substr(0, end), it->first.substr(end + 1),
-                                            it->second);
+            routing.balancer.onWeightsReported(it->first.substr(0, end), it->first.substr(end + 1),
+                                               it->second);
     }
-    for (auto it = report.namedAgeMs.begin(); it != report.namedAgeMs.end(); ++it) {
-        const std::optional<weights_name> name = parseWeightsKey(it->first);
-        if (name)
-            routing.board.addAnnouncedWeights(name->model, name->version,
+    for (auto it = report.targetAgeMs.begin(); it != report.targetAgeMs.end(); ++it) {
+        const std::optional<weights_key> key = parseWeightsKey(it->first);
+        if (key)
+            routing.balancer.addTargetWeights(key->model, key->version,
                                               now - std::chrono::milliseconds(it->second));
     }
 }
@@ -234,7 +236,7 @@
 void peer_exchange::applyLimits(timestamp now, const peer_report &report, routing_state &routing)
 {
     routing.limits.applyReport(now, report.from, report.incarnation, report.admitted,
-                               report.askedRates, fromSeconds(report.periodMs / 1000));
+                               report.demandRates, fromSeconds(report.periodMs / 1000));
     // An instance that just started adopts the levels of one that started earlier.
     const bool isSenderOlder = report.incarnation < m_state.incarnation();
     if (m_hasAdoptedLevels || report.levels.empty() || !isSenderOlder)
@@ -245,8 +247,8 @@
 
 void peer_exchange::applyOutcomes(timestamp now, const peer_report &report, routing_state &routing)
 {
-    for (const crash_record &note : report.crashes)
-        routing.crashes.note(now, note.request, note.event);
+    for (const crash_record &crash : report.crashes)
+        routing.crashes.note(now, crash.request, crash.event);
     for (const release_outcomes &each : report.releases) {
         outcome_counts &reported =
             m_reportedOutcomes[report.from + "/" + std::to_string(report.incarnation) + "/"
--- a/trefoilrouter/src/edge/peer_exchange.h
+++ b/trefoilrouter/src/edge/peer_exchange.h
@@ -45,8 +45,8 @@
     void applyWeights(timestamp now, const peer_report &report, routing_state &routing);
     void applyLimits(timestamp now, const peer_report &report, routing_state &routing);
     void applyOutcomes(timestamp now, const peer_report &report, routing_state &routing);
-    /// Returns the interval between reports, which is shorter for a leader and for an instance with
-    /// callers.
+    /// Returns the interval between reports, which is shorter for the leader and for an instance
+    /// with callers.
     duration reportInterval(bool isLeader) const;
 
     edge_state &m_state;
--- a/trefoilrouter/src/edge/request_runner.cpp
+++ b/trefoilrouter/src/edge/request_runner.cpp
@@ -37,15 +37,15 @@
 /// Limit on the head of an answer.
 constexpr std::size_t maxHeadBytes = 64 * 1024;
 /// Limit on an answer that is buffered.
-constexpr std::size_t maxWholeBytes = 16u << 20;
-/// Fraction of the remaining time that the expected wait may take. Beyond it a request is rejected
+constexpr std::size_t maxBufferedBytes = 16u << 20;
+/// Fraction of the remaining time that the expected wait may take. Beyond it a request is refused
 /// at once, because it would probably time out in the queue.
 constexpr double maxWaitFraction = 0.8;
 /// Time without requests for a server that rejected one. An engine is full or loads weights, which
 /// takes more than a second; another server is full for about the time of one request.
 constexpr duration engineRejectionPause = std::chrono::milliseconds(900);
 constexpr duration plainRejectionPause = std::chrono::milliseconds(40);
-/// Bounds of the Retry-After time for rejected callers.
+/// Bounds of the Retry-After time for refused callers.
 constexpr duration minRetryAfter = std::chrono::milliseconds(150);
 constexpr duration maxRetryAfter = std::chrono::milliseconds(1500);
 /// Timeout of the probe after a broken connection: the host of a crashed server refuses at once.
@@ -56,7 +56,7 @@
 constexpr int firstRedirect = 300;
 constexpr int firstServerFailure = 500;
 
-/// Returns @p base with random jitter, so that callers that were rejected together don't retry at
+/// Returns @p base with random jitter, so that callers that were refused together don't retry at
 /// the same time.
 duration withJitter(duration base)
 {
@@ -138,10 +138,10 @@
     m_limitCost = 1;
     if (m_team->unit == limit_unit::Tokens)
         m_limitCost = m_fields.hasTokenCounts ? m_fields.promptTokens + m_fields.outputTokens
-                                              : m_team->plainTokens;
-    team_limits::team_view view;
+                                              : m_team->defaultTokens;
+    team_limits::limit_state state;
     const std::optional<duration> wait = m_state.with([&](routing_state &routing) {
-        view = routing.limits.view(now, m_team->name);
+        state = routing.limits.limitState(now, m_team->name);
         return routing.limits.admit(now, m_team->name, m_limitCost);
     });
     if (!wait)
@@ -150,11 +150,11 @@
                    .add("request", m_fields.requestId)
                    .add("team", m_team->name)
                    .add("units", m_limitCost)
-                   .add("rate", view.rate)
-                   .add("level", view.level)
-                   .add("own_part", view.share)
-                   .add("instances_heard", view.heard)
-                   .add("instances_known", view.known)
+                   .add("rate", state.rate)
+                   .add("level", state.level)
+                   .add("own_part", state.share)
+                   .add("instances_heard", state.heard)
+                   .add("instances_known", state.known)
                    .add("wait_ms", toMilliseconds(*wait)));
     m_limitCost = 0;
     return refusal {HTTPResponse::HTTP_TOO_MANY_REQUESTS, "the team is over its limit",
@@ -176,7 +176,7 @@
     }
 }
 
-request_profile request_runner::workItem() const
+request_profile request_runner::requestProfile() const
 {
     const served_service *service = m_tables->findService(m_service);
     const bool isModel = service != nullptr && service->engine.has_value();
@@ -187,21 +187,21 @@
             .prompt = m_fields.prompt,
             .outputTokens = m_fields.outputTokens,
             .tried = m_triedServers,
-            .excludedReleases = m_barredReleases};
+            .excludedReleases = m_excludedReleases};
 }
 
 std::optional<server_placement> request_runner::choosePlacement(timestamp now)
 {
     return m_state.with([&](routing_state &routing) -> std::optional<server_placement> {
-        m_barredReleases.clear();
+        m_excludedReleases.clear();
         if (routing.releases.request(m_service)) {
             const std::uint64_t bits = hash64(m_fields.requestId);
-            for (std::string &release : routing.board.releasesOf(m_service)) {
+            for (std::string &release : routing.balancer.releasesOf(m_service)) {
                 if (!routing.releases.allows(now, m_service, release, bits))
-                    m_barredReleases.push_back(std::move(release));
+                    m_excludedReleases.push_back(std::move(release));
             }
         }
-        return routing.board.choose(now, workItem());
+        return routing.balancer.choose(now, requestProfile());
     });
 }
 
@@ -286,7 +286,7 @@
 {
     const timestamp now = boot_clock::now();
     current.ticket = m_state.with([&](routing_state &routing) {
-        return routing.board.begin(now, current.placed, workItem());
+        return routing.balancer.begin(now, current.placed, requestProfile());
     });
     logPlaced(current);
     attempt_end end = send(current);
@@ -297,11 +297,11 @@
         return end;
     m_state.with([&](routing_state &routing) {
         if (current.fields.weights)
-            routing.board.onWeightsObserved(boot_clock::now(), current.placed.server,
-                                            m_fields.model, *current.fields.weights);
+            routing.balancer.onWeightsObserved(boot_clock::now(), current.placed.server,
+                                               m_fields.model, *current.fields.weights);
         if (current.fields.running)
-            routing.board.onLoadReported(boot_clock::now(), current.placed.server,
-                                         *current.fields.running, current.fields.waiting);
+            routing.balancer.onLoadReported(boot_clock::now(), current.placed.server,
+                                            *current.fields.running, current.fields.waiting);
     });
     if (current.fields.wasNotRun)
         return handleRejection(current);
@@ -342,7 +342,7 @@
          .timeLeft = m_deadline - boot_clock::now(),
          .priority = std::clamp(teamPriority * priorityStep + m_route->priority, 0, lastPriority),
          .weights = placed.weights,
-         .cacheSalt = placed.cacheName,
+         .cacheSalt = placed.cacheSalt,
          .cacheSource = placed.cacheSource,
          .cacheSink = placed.cacheSink,
          .lastEventId = lastEvent});
@@ -387,7 +387,7 @@
     if (outcome != read_outcome::TimedOut)
         return outcome;
     m_state.with([&](routing_state &routing) {
-        routing.board.onServerSilent(boot_clock::now(), current.ticket);
+        routing.balancer.onServerSilent(boot_clock::now(), current.ticket);
     });
     if (firstWaitEnd < abandonAt)
         outcome = current.stream->readMore(abandonAt, &m_caller);
@@ -462,7 +462,7 @@
             if (current.framing.end == body_end::Length && body.size() == current.framing.length)
                 return attempt_end::Delivered;
         }
-        if (body.size() > maxWholeBytes)
+        if (body.size() > maxBufferedBytes)
             return attempt_end::Broken;
         const read_outcome outcome = waitForBytes(current);
         if (outcome == read_outcome::End && current.framing.end == body_end::Close)
@@ -482,12 +482,12 @@
         const bool isOtherServer =
             !current.fields.server.empty() && current.fields.server != current.placed.server;
         if (current.fields.isMisdirected && isOtherServer)
-            routing.board.markGone(current.placed.server);
+            routing.balancer.markGone(current.placed.server);
         else if (current.fields.isMisdirected && current.placed.weights > 0)
-            routing.board.onWeightsMismatch(now, current.placed.server, m_fields.model,
-                                            current.placed.weights);
+            routing.balancer.onWeightsMismatch(now, current.placed.server, m_fields.model,
+                                               current.placed.weights);
         else
-            routing.board.markLoading(
+            routing.balancer.markLoading(
                 current.placed.server,
                 now + (current.placed.weights > 0 ? engineRejectionPause : plainRejectionPause));
     });
@@ -513,7 +513,8 @@
     if (end != attempt_end::Delivered)
         return end;
     const timestamp now = boot_clock::now();
-    m_state.with([&](routing_state &routing) { routing.board.onFirstEvent(now, current.ticket); });
+    m_state.with(
+        [&](routing_state &routing) { routing.balancer.onFirstEvent(now, current.ticket); });
     returnConnection(current);
     if (m_isHeadSent)
         return attempt_end::Broken;
@@ -589,7 +590,7 @@
         if (!events.empty() && !current.hasEvents) {
             current.hasEvents = true;
             m_state.with([&](routing_state &routing) {
-                routing.board.onFirstEvent(boot_clock::now(), current.ticket);
+                routing.balancer.onFirstEvent(boot_clock::now(), current.ticket);
             });
         }
         if ((!events.empty() || isComplete) && !deliverEvents(current, events, isComplete))
@@ -628,7 +629,8 @@
     if (current.stream && end != attempt_end::Delivered)
         current.stream->abort();
     const timestamp now = boot_clock::now();
-    m_state.with([&](routing_state &routing) { routing.board.end(now, current.ticket, outcome); });
+    m_state.with(
+        [&](routing_state &routing) { routing.balancer.end(now, current.ticket, outcome); });
     recordReleaseOutcome(current, end);
     logAttemptEnd(current, end);
     if (end == attempt_end::Broken && current.wasSent)
@@ -666,12 +668,12 @@
     if (probe || probe.error().code != connect_errors::refused)
         return;
     const timestamp now = boot_clock::now();
-    const crash_record note {.request = m_bodyDigest, .event = current.placed.server};
+    const crash_record crash {.request = m_bodyDigest, .event = current.placed.server};
     m_state.with([&](routing_state &routing) {
-        routing.crashes.note(now, note.request, note.event);
+        routing.crashes.note(now, crash.request, crash.event);
         std::erase_if(routing.localCrashes,
                       [now](const auto &each) { return now - each.first > crashReportTime; });
-        routing.localCrashes.emplace_back(now, note);
+        routing.localCrashes.emplace_back(now, crash);
     });
     writeEvent(event_line("proxy", "crash_suspected")
                    .add("request", m_fields.requestId)
@@ -683,7 +685,7 @@
 {
     if (m_limitCost > 0 && m_runs == 0)
         m_state.with(
-            [&](routing_state &routing) { routing.limits.giveBack(m_team->name, m_limitCost); });
+            [&](routing_state &routing) { routing.limits.refund(m_team->name, m_limitCost); });
     logEnd(refused.reason, refused.status);
     const std::string text = encodeLocalAnswer(refused.status, m_fields.requestId, refused.reason,
                                                refused.retryAfter, m_closesConnection);
--- a/trefoilrouter/src/edge/request_runner.h
+++ b/trefoilrouter/src/edge/request_runner.h
@@ -113,7 +113,7 @@
 
     bool writeRefusal(const refusal &refused);
     bool writeAnswer();
-    request_profile workItem() const;
+    request_profile requestProfile() const;
     bool mayRepeat() const { return m_route->mayRepeat(); }
     void logUnplaced(timestamp now, const std::optional<server_placement> &best) const;
     void logPlaced(const attempt &current) const;
@@ -135,7 +135,7 @@
     timestamp m_deadline;
     digest128 m_bodyDigest;
     std::vector<std::string> m_triedServers;
-    std::vector<std::string> m_barredReleases;
+    std::vector<std::string> m_excludedReleases;
     /// Attempts in which a server may have started the request.
     int m_runs = 0;
     bool m_isHeadSent = false;
--- a/trefoilrouter/src/edge/store_watch.cpp
+++ b/trefoilrouter/src/edge/store_watch.cpp
@@ -45,8 +45,8 @@
 /// Time that a copy may be behind before it is fetched from another instance; normally the store's
 /// watch delivers changes sooner.
 constexpr duration maxTimeBehind = std::chrono::milliseconds(350);
-/// Assumed age of weights found at startup, which may have been named long ago: half of the time
-/// within which they must be in use everywhere. Reports of other instances correct it.
+/// Assumed age of target weights found at startup, which may have been set long ago: about half of
+/// the time within which all servers must run them. Reports of other instances correct it.
 constexpr duration assumedWeightsAge = std::chrono::seconds(5);
 constexpr duration fetchTimeout = std::chrono::milliseconds(400);
 
@@ -346,7 +346,7 @@
         return;
     const timestamp now = boot_clock::now();
     m_state.with([&tables, now](routing_state &routing) {
-        routing.board.setTables(*tables);
+        routing.balancer.setTables(*tables);
         for (auto it = tables->teams.begin(); it != tables->teams.end(); ++it) {
             if (it->second.rate > 0)
                 routing.limits.setLimit(now, it->first, it->second.rate, it->second.burst);
@@ -396,7 +396,7 @@
             writeEvent(event_line("servers", "server_gone").add("server", it->first));
     }
     m_serverConditions = std::move(conditions);
-    m_state.with([&servers](routing_state &routing) { routing.board.setServers(servers); });
+    m_state.with([&servers](routing_state &routing) { routing.balancer.setServers(servers); });
 }
 
 void store_watch::applyWeights(const std::map<std::string, object, std::less<>> &objects)
@@ -405,7 +405,7 @@
     const timestamp since = m_hasAppliedWeights ? now : now - assumedWeightsAge;
     m_hasAppliedWeights = true;
     for (auto it = objects.begin(); it != objects.end(); ++it) {
-        const result<named_weights> weights = decodeNamedWeights(it->second.value);
+        const result<target_weights> weights = decodeTargetWeights(it->second.value);
         if (!weights) {
             writeEvent(event_line("weights", "entry_dropped")
                            .add("entry", it->first)
@@ -413,7 +413,7 @@
             continue;
         }
         m_state.with([&weights, since](routing_state &routing) {
-            routing.board.addAnnouncedWeights(weights->model, weights->version, since);
+            routing.balancer.addTargetWeights(weights->model, weights->version, since);
         });
         writeEvent(event_line("weights", "named")
                        .add("model", weights->model)
@@ -439,7 +439,7 @@
         writeEvent(event_line("rollout", "requested")
                        .add("service", request->service)
                        .add("release", request->release)
-                       .add("seconds", toSeconds(request->time))
+                       .add("seconds", toSeconds(request->rampTime))
                        .add("revision", it->second.version));
     }
 }
