--- a/libs/dispatch/include/dispatch/load_balancer.h
+++ b/libs/dispatch/include/dispatch/load_balancer.h
@@ -270,7 +270,7 @@
         bool isProbing = false;
         timestamp probedAt;
         /// Weights version assumed after a refusal; 0 to use the known one.
-        std::uint64_t guessedWeights = 0;
+        std::uint64_t assumedWeights = 0;
         timestamp weightsObservedAt;
         /// Ratio of the measured to the expected time to the first event.
         double slowness = 1;
--- a/libs/dispatch/include/dispatch/team_limits.h
+++ b/libs/dispatch/include/dispatch/team_limits.h
@@ -87,9 +87,9 @@
         /// Share of the rate that this instance may admit while the level is low.
         double share = 1;
         /// Other instances heard recently.
-        int heard = 0;
+        int heardPeers = 0;
         /// Other known instances.
-        int known = 0;
+        int knownPeers = 0;
     };
     /// Returns the state of @p team's limit.
     limit_state limitState(timestamp now, std::string_view team) const;
--- a/libs/dispatch/src/load_balancer.cpp
+++ b/libs/dispatch/src/load_balancer.cpp
@@ -179,8 +179,8 @@
     if (state == nullptr)
         return;
     std::uint64_t &known = state->info.weights[std::string(model)];
-    if (version >= state->guessedWeights)
-        state->guessedWeights = 0;
+    if (version >= state->assumedWeights)
+        state->assumedWeights = 0;
     if (version <= known)
         return;
     known = version;
@@ -194,14 +194,14 @@
     server_state *state = findServer(server);
     if (state == nullptr)
         return;
-    state->guessedWeights = 0;
+    state->assumedWeights = 0;
     const auto targets = m_targetWeights.find(model);
     if (targets != m_targetWeights.end()) {
         const auto next = targets->second.upper_bound(tried);
         if (next != targets->second.end())
-            state->guessedWeights = next->first;
+            state->assumedWeights = next->first;
     }
-    if (state->guessedWeights == 0)
+    if (state->assumedWeights == 0)
         state->loadingUntil = std::max(state->loadingUntil, now + weightsMismatchBackoff);
 }
 
@@ -218,8 +218,8 @@
 
 std::uint64_t load_balancer::weightsOf(const server_state &state, std::string_view model)
 {
-    if (state.guessedWeights != 0)
-        return state.guessedWeights;
+    if (state.assumedWeights != 0)
+        return state.assumedWeights;
     const auto runs = state.info.weights.find(model);
     return runs == state.info.weights.end() ? 0 : runs->second;
 }
--- a/libs/dispatch/src/team_limits.cpp
+++ b/libs/dispatch/src/team_limits.cpp
@@ -220,9 +220,9 @@
         state.level = found->second.level;
         state.share = demandOf(team, found->second).share();
     }
-    state.known = static_cast<int>(m_peers.size());
+    state.knownPeers = static_cast<int>(m_peers.size());
     for (auto it = m_peers.begin(); it != m_peers.end(); ++it)
-        state.heard += isSilent(now, it->second) ? 0 : 1;
+        state.heardPeers += isSilent(now, it->second) ? 0 : 1;
     return state;
 }
 
--- a/trefoilrouter/src/edge/request_runner.cpp
+++ b/trefoilrouter/src/edge/request_runner.cpp
@@ -153,8 +153,8 @@
                    .add("rate", state.rate)
                    .add("level", state.level)
                    .add("own_part", state.share)
-                   .add("instances_heard", state.heard)
-                   .add("instances_known", state.known)
+                   .add("instances_heard", state.heardPeers)
+                   .add("instances_known", state.knownPeers)
                    .add("wait_ms", toMilliseconds(*wait)));
     m_limitCost = 0;
     return refusal {HTTPResponse::HTTP_TOO_MANY_REQUESTS, "the team is over its limit",
