--- a/libs/configuration/src/settings.cpp
+++ b/libs/configuration/src/settings.cpp
@@ -152,7 +152,7 @@
     section("trace", false, readTrace);
     section("traffic", false, readTraffic);
     readSeeds(map, parsed);
-    sortByPlace(found);
+    sortByLocation(found);
     if (!found.empty())
         return tl::unexpected(found);
     return parsed;
--- a/libs/configuration/src/tables.cpp
+++ b/libs/configuration/src/tables.cpp
@@ -236,7 +236,7 @@
     map.each("routes", true, [&](const YAML::Node &node, const std::string &path) {
         parsed.routes.push_back(readRoute(node, path, routeNames, targets, teamNames, sink));
     });
-    sortByPlace(found);
+    sortByLocation(found);
     if (!found.empty())
         return tl::unexpected(found);
     return parsed;
@@ -257,7 +257,7 @@
     map.each("pools", true, [&](const YAML::Node &node, const std::string &path) {
         parsed.pools.push_back(readPool(node, path, poolNames, serverNames, addresses, sink));
     });
-    sortByPlace(found);
+    sortByLocation(found);
     if (!found.empty())
         return tl::unexpected(found);
     return parsed;
--- a/libs/control/benchmarks/bench_capacity.cpp
+++ b/libs/control/benchmarks/bench_capacity.cpp
@@ -10,7 +10,7 @@
 #include <span>
 
 #include <core/json.h>
-#include <core/report.h>
+#include <core/text_table.h>
 #include <limits/token_account.h>
 #include <routing/placement.h>
 
@@ -28,7 +28,7 @@
 
     /// Appends the least-squares line, and how the cost grew from the smallest to the largest size:
     /// an exponent above 1 is faster than linear.
-    void write(report_table &table) const
+    void write(text_table &table) const
     {
         double sumX = 0;
         double sumY = 0;
@@ -62,9 +62,9 @@
     return all;
 }
 
-report_table slopesTable()
+text_table slopesTable()
 {
-    report_table table("slopes", {"cost", "unit", "base", "for each more", "exponent"});
+    text_table table("slopes", {"cost", "unit", "base", "for each more", "exponent"});
     for (const slope &each : slopes())
         each.write(table);
     return table;
@@ -100,12 +100,12 @@
 }
 
 /// Steady state and one change of configuration, as the fleet grows.
-report_table instancesTable()
+text_table instancesTable()
 {
-    report_table table("control of a node as instances grow (100 teams, 10 backend servers)",
-                       {"instances", "messages/s", "KB/s", "% of a core", "platform reads/s",
-                        "writes/s", "watches/s", "change in force everywhere s",
-                        "KB a node a change", "heap MB a node", "allocations/s"});
+    text_table table("control of a node as instances grow (100 teams, 10 backend servers)",
+                     {"instances", "messages/s", "KB/s", "% of a core", "platform reads/s",
+                      "writes/s", "watches/s", "change in force everywhere s", "KB a node a change",
+                      "heap MB a node", "allocations/s"});
     slope cpuSlope("processor of a node, by instances", "% of a core");
     slope byteSlope("steady bytes of a node, by instances", "KB/s");
     slope changeSlope("bytes of a node for a change, by instances", "KB");
@@ -173,11 +173,11 @@
     return table;
 }
 
-report_table teamsTable()
+text_table teamsTable()
 {
-    report_table table("an instance as teams grow",
-                       {"teams", "routes table KB", "time to check and take it ms", "heap KB",
-                        "heap bytes a team"});
+    text_table table("an instance as teams grow",
+                     {"teams", "routes table KB", "time to check and take it ms", "heap KB",
+                      "heap bytes a team"});
     slope parseSlope("checking and taking the routes table, by teams", "ms");
     slope heapSlope("heap, by teams", "KB");
     for (const int teams : {27, 270, 2700}) {
@@ -205,9 +205,9 @@
     return table;
 }
 
-report_table workersTable()
+text_table workersTable()
 {
-    report_table table(
+    text_table table(
         "placement as backend servers grow (prompts of 10 blocks)",
         {"backend servers", "choose us", "allocations", "heap KB", "heap bytes a server"});
     slope chooseSlope("choosing a backend server, by servers of the pool", "us");
@@ -247,10 +247,10 @@
     return table;
 }
 
-report_table prefixesTable()
+text_table prefixesTable()
 {
-    report_table table("belief about caches as blocks grow",
-                       {"blocks", "event ns", "heap KB", "heap bytes a block"});
+    text_table table("belief about caches as blocks grow",
+                     {"blocks", "event ns", "heap KB", "heap bytes a block"});
     slope beliefSlope("heap of belief, by blocks", "KB");
     for (const int blocks : {1000, 10000, 100000}) {
         std::vector<digest128> digests;
@@ -273,10 +273,10 @@
     return table;
 }
 
-report_table ownerTable()
+text_table ownerTable()
 {
-    report_table table("limit owner as open requests of a team grow",
-                       {"open requests", "reserve and settle us", "heap bytes a request"});
+    text_table table("limit owner as open requests of a team grow",
+                     {"open requests", "reserve and settle us", "heap bytes a request"});
     slope settleSlope("reserving and settling, by open requests of a team", "us");
     for (const int open : {100, 1000, 10000}) {
         const double before = heapBytes();
@@ -302,10 +302,10 @@
     return table;
 }
 
-report_table changesTable()
+text_table changesTable()
 {
-    report_table table("changes of configuration in a minute (33 instances, 100 teams)",
-                       {"changes", "KB/s a node", "% of a core", "platform reads/s"});
+    text_table table("changes of configuration in a minute (33 instances, 100 teams)",
+                     {"changes", "KB/s a node", "% of a core", "platform reads/s"});
     slope byteSlope("bytes of a node, by changes in a minute at 33 instances", "KB/s");
     slope cpuSlope("processor of a node, by changes in a minute at 33 instances", "% of a core");
     for (const int changes : {1, 10, 60}) {
@@ -336,9 +336,9 @@
     return table;
 }
 
-report_table messagesTable()
+text_table messagesTable()
 {
-    report_table table("messages as encoded", {"message", "bytes"});
+    text_table table("messages as encoded", {"message", "bytes"});
     const auto size = [](const auto &message) {
         return std::to_string(writeJson(toJson(message)).size());
     };
@@ -378,9 +378,9 @@
 /// Measures what control costs, on the real state machines and codecs.
 int main(int argc, char **argv)
 {
-    std::vector<report_table> tables {instancesTable(), changesTable(),  teamsTable(),
-                                      workersTable(),   prefixesTable(), ownerTable(),
-                                      messagesTable()};
+    std::vector<text_table> tables {instancesTable(), changesTable(),  teamsTable(),
+                                    workersTable(),   prefixesTable(), ownerTable(),
+                                    messagesTable()};
     tables.push_back(slopesTable());
-    return report(tables, argc, argv);
+    return writeTables(tables, argc, argv);
 }
--- a/libs/core/include/core/clock.h
+++ b/libs/core/include/core/clock.h
@@ -5,11 +5,11 @@
 
 namespace trefoil {
 
-/// Length of time. Every decision library counts in nanoseconds.
+/// Length of time in nanoseconds, as used throughout the libraries.
 using duration = std::chrono::nanoseconds;
 
-/// Clock that goes on while the machine is suspended, so that a lease held by a suspended process
-/// is seen to have expired when the process resumes.
+/// Clock that keeps running while the machine is suspended (CLOCK_BOOTTIME), so that a process that
+/// resumes from suspension sees that its leases have expired.
 struct boot_clock
 {
     using duration = std::chrono::nanoseconds;
@@ -18,11 +18,12 @@
     using time_point = std::chrono::time_point<boot_clock>;
     static constexpr bool is_steady = true;
 
-    /// Returns the time since the machine started. Thread-safe.
+    /// Returns the time since the machine booted. Thread-safe.
     static time_point now() noexcept;
 };
 
-/// Point in time as the decision libraries take it: an argument, never read from a clock inside.
+/// Point in time. The libraries that make decisions take it as an argument and never read a clock
+/// themselves, so that tests control the time.
 using timestamp = boot_clock::time_point;
 
 /// Returns @p time in seconds. Thread-safe.
@@ -41,8 +42,8 @@
     return std::chrono::duration_cast<std::chrono::milliseconds>(time).count();
 }
 
-/// Returns the wall clock in milliseconds since 1970, for incarnations and log lines only: no
-/// decision compares it with another machine's. Thread-safe.
+/// Returns the wall-clock time in milliseconds since 1970 (Unix time). For incarnation numbers
+/// and log lines only; never compare it with another machine's clock. Thread-safe.
 std::uint64_t wallMilliseconds();
 
 } // namespace trefoil
--- a/libs/core/include/core/digest.h
+++ b/libs/core/include/core/digest.h
@@ -9,35 +9,36 @@
 
 namespace trefoil {
 
-/// 128-bit non-cryptographic digest (XXH3). Collisions are negligible by accident; nothing that an
-/// adversary could gain from is keyed by it alone (callers' keys use SHA-256).
+/// 128-bit non-cryptographic digest (XXH3). Accidental collisions are negligible, but an adversary
+/// can construct them, so it must not be the only key of anything worth attacking (callers' API
+/// keys use SHA-256).
 struct digest128
 {
     std::uint64_t high = 0;
     std::uint64_t low = 0;
 
-    // clang-tidy 14 takes the generated comparison with 0 for a null pointer.
+    // clang-tidy 14 mistakes the 0 in the generated comparison for a null pointer.
     auto operator<=>(const digest128 &) const = default; // NOLINT(modernize-use-nullptr)
 };
 
-/// Returns the digest of @p bytes, chained to @p seed: equal results mean an equal seed and equal
-/// bytes. Thread-safe; does not allocate.
+/// Returns the digest of @p bytes chained to @p seed. Barring collisions, equal results mean equal
+/// seeds and equal bytes. Thread-safe; does not allocate.
 digest128 digestOf(std::string_view bytes, digest128 seed = {});
 
-/// Returns a 64-bit hash of @p bytes under @p seed. Stable across builds and machines, because
+/// Returns a 64-bit hash of @p bytes with @p seed. Stable across builds and machines, because
 /// instances compare the results. Thread-safe.
 std::uint64_t hash64(std::string_view bytes, std::uint64_t seed = 0);
 
 /// Returns @p digest as 32 lower-case hexadecimal digits. Thread-safe.
 std::string toHex(digest128 digest);
 
-/// Parses what toHex() wrote into @p digest. Returns false, leaving it as it was, on any other
-/// text. Thread-safe.
+/// Parses the output of toHex() into @p digest. Returns false and leaves @p digest unchanged on any
+/// other text. Thread-safe.
 bool fromHex(std::string_view text, digest128 &digest);
 
 } // namespace trefoil
 
-/// Lets digests be keys of hashed containers; the digest's own bits are already uniform.
+/// Allows digests as keys of unordered containers. The digest's bits are already uniform.
 template <>
 struct std::hash<trefoil::digest128>
 {
--- a/libs/core/include/core/error.h
+++ b/libs/core/include/core/error.h
@@ -7,12 +7,12 @@
 
 namespace trefoil {
 
-/// Error with a fixed machine-readable code and a sentence that names the thing at fault.
+/// Error with a fixed machine-readable code and a message that names what caused it.
 struct error
 {
     /// Short identifier in kebab case, for example "unknown-team".
     std::string code;
-    /// Sentence for people.
+    /// Human-readable description.
     std::string message;
 };
 
--- a/libs/core/include/core/finding.h
+++ b/libs/core/include/core/finding.h
@@ -6,13 +6,13 @@
 
 namespace trefoil {
 
-/// One fault of a document, with its place.
+/// One error found in a document, with its location.
 struct finding
 {
     std::string file;
-    /// Counted from 1; 0 where the fault has no single place.
+    /// Counted from 1; 0 if the error has no single location.
     int line = 0;
-    /// Counted from 1; 0 where the fault has no single place.
+    /// Counted from 1; 0 if the error has no single location.
     int column = 0;
     std::string message;
 
@@ -24,10 +24,10 @@
 /// Returns "file:line:column: message". Thread-safe.
 std::string toString(const finding &item);
 
-/// Returns one line for each finding, in the order of their places. Thread-safe.
+/// Returns one line for each finding, in the order of @p items. Thread-safe.
 std::string toString(std::span<const finding> items);
 
 /// Orders @p items by file, line and column. Not thread-safe on the same list.
-void sortByPlace(findings &items);
+void sortByLocation(findings &items);
 
 } // namespace trefoil
--- a/libs/core/include/core/json.h
+++ b/libs/core/include/core/json.h
@@ -8,22 +8,27 @@
 
 namespace trefoil {
 
-/// Parses one JSON document. Error: "bad-json", naming @p what. Thread-safe.
+/// Parses one JSON document; @p what names the document in the error. Error: "bad-json".
+/// Thread-safe.
 result<Json::Value> parseJson(std::string_view text, std::string_view what);
 
-/// Writes @p value on one line, members in the order of their names. Thread-safe.
+/// Returns @p value as JSON on one line, with members sorted by name. Thread-safe.
 std::string writeJson(const Json::Value &value);
 
-/// Returns member @p name of @p object as text, or "" where it is absent or not text. Thread-safe.
+/// Returns member @p name of @p object as text, or @p fallback if it is absent or not a string.
+/// Thread-safe.
 std::string textOr(const Json::Value &object, const char *name, std::string_view fallback = "");
 
-/// Returns member @p name of @p object as a flag, or @p fallback. Thread-safe.
+/// Returns member @p name of @p object as a Boolean, or @p fallback if it is absent or not a
+/// Boolean. Thread-safe.
 bool flagOr(const Json::Value &object, const char *name, bool fallback = false);
 
-/// Returns member @p name of @p object as an unsigned integer, or @p fallback. Thread-safe.
+/// Returns member @p name of @p object as an unsigned integer, or @p fallback if it is absent or
+/// not one. Thread-safe.
 std::uint64_t integerOr(const Json::Value &object, const char *name, std::uint64_t fallback = 0);
 
-/// Returns member @p name of @p object as a number, or @p fallback. Thread-safe.
+/// Returns member @p name of @p object as a number, or @p fallback if it is absent or not a number.
+/// Thread-safe.
 double numberOr(const Json::Value &object, const char *name, double fallback = 0);
 
 } // namespace trefoil
--- a/libs/core/include/core/mailbox.h
+++ b/libs/core/include/core/mailbox.h
@@ -11,7 +11,7 @@
 
 namespace trefoil {
 
-/// Queue of typed messages from many senders to one receiver.
+/// Unbounded multi-producer, single-consumer queue of typed messages.
 ///
 ///     mailbox<message> box;
 ///     box.post(message { ... });                              // any thread
@@ -35,12 +35,12 @@
         return true;
     }
 
-    /// Removes the oldest message, waiting up to @p patience for one. Returns nothing after that,
-    /// or at once when the mailbox is closed and empty.
-    std::optional<Message> take(duration patience)
+    /// Removes and returns the oldest message, waiting up to @p timeout for one. Returns nothing on
+    /// timeout, or at once if the mailbox is closed and empty.
+    std::optional<Message> take(duration timeout)
     {
         std::unique_lock<std::mutex> lock(m_mutex);
-        m_ready.wait_for(lock, patience, [this] { return m_closed || !m_messages.empty(); });
+        m_ready.wait_for(lock, timeout, [this] { return m_closed || !m_messages.empty(); });
         if (m_messages.empty())
             return std::nullopt;
         std::optional<Message> message(std::move(m_messages.front()));
@@ -48,7 +48,7 @@
         return message;
     }
 
-    /// Refuses further messages and wakes the receiver. Idempotent.
+    /// Rejects further messages and wakes the receiver. Idempotent.
     void close()
     {
         {
--- a/libs/core/include/core/rendezvous.h
+++ b/libs/core/include/core/rendezvous.h
@@ -8,12 +8,13 @@
 
 namespace trefoil {
 
-/// Returns the weight of @p candidate for @p key. The candidate with the highest weight is the
-/// first choice; when it goes, only its own keys move. Thread-safe.
+/// Returns the weight of @p candidate for @p key in rendezvous (highest random weight) hashing. The
+/// candidate with the highest weight is preferred; removing a candidate reassigns only the keys
+/// that preferred it. Thread-safe.
 std::uint64_t rendezvousWeight(std::string_view key, std::string_view candidate);
 
-/// Returns indices into @p candidates, best first. The order depends only on the names, so every
-/// instance that knows the same candidates computes the same order. Thread-safe.
+/// Returns indices into @p candidates by descending weight. The order depends only on the key and
+/// the names, so every instance with the same candidates computes the same order. Thread-safe.
 std::vector<std::size_t> rendezvousOrder(std::string_view key,
                                          std::span<const std::string> candidates);
 
--- a/libs/core/src/digest.cpp
+++ b/libs/core/src/digest.cpp
@@ -11,11 +11,11 @@
 
 digest128 digestOf(std::string_view bytes, digest128 seed)
 {
-    // The seed's low half seeds the hash; the high half is folded into the result, so that both
-    // halves of the parent decide the child.
-    const XXH128_hash_t body = XXH3_128bits_withSeed(bytes.data(), bytes.size(), seed.low);
-    const std::array<std::uint64_t, 3> folded {body.high64, body.low64, seed.high};
-    const XXH128_hash_t result = XXH3_128bits_withSeed(folded.data(), sizeof(folded), seed.low);
+    // XXH3 takes a 64-bit seed: the low half seeds the hash, and the high half is mixed into the
+    // result, so that the digest depends on both halves of the seed.
+    const XXH128_hash_t partial = XXH3_128bits_withSeed(bytes.data(), bytes.size(), seed.low);
+    const std::array<std::uint64_t, 3> mixed {partial.high64, partial.low64, seed.high};
+    const XXH128_hash_t result = XXH3_128bits_withSeed(mixed.data(), sizeof(mixed), seed.low);
     return {.high = result.high64, .low = result.low64};
 }
 
--- a/libs/core/src/finding.cpp
+++ b/libs/core/src/finding.cpp
@@ -21,7 +21,7 @@
     return text;
 }
 
-void sortByPlace(findings &items)
+void sortByLocation(findings &items)
 {
     std::stable_sort(items.begin(), items.end(), [](const finding &a, const finding &b) {
         return std::tie(a.file, a.line, a.column) < std::tie(b.file, b.line, b.column);
--- a/libs/core/src/json.cpp
+++ b/libs/core/src/json.cpp
@@ -12,16 +12,16 @@
 {
     Json::CharReaderBuilder builder;
     Json::CharReaderBuilder::strictMode(&builder.settings_);
-    // Strict mode refuses scalars at the root, which peers and the platform may send.
+    // Strict mode rejects scalars at the root, which peers and the platform may send.
     builder.settings_["strictRoot"] = false;
     const std::unique_ptr<Json::CharReader> reader(builder.newCharReader());
     Json::Value value;
-    std::string problems;
+    std::string errors;
     try {
-        if (!reader->parse(text.data(), text.data() + text.size(), &value, &problems))
-            return failure("bad-json", std::string(what) + " is not valid JSON: " + problems);
+        if (!reader->parse(text.data(), text.data() + text.size(), &value, &errors))
+            return failure("bad-json", std::string(what) + " is not valid JSON: " + errors);
     } catch (const Json::Exception &exception) {
-        // Too deep a nesting is thrown, not reported.
+        // The parser throws on nesting that is too deep instead of returning false.
         return failure("bad-json", std::string(what) + " is not valid JSON: " + exception.what());
     }
     return value;
--- a/libs/core/src/supervisor.cpp
+++ b/libs/core/src/supervisor.cpp
@@ -14,14 +14,14 @@
 
 namespace {
 
-/// How a child's thread ended.
+/// Outcome of one run of a child.
 struct child_exit
 {
     std::size_t child = 0;
     result<void> outcome;
 };
 
-/// Exits reported by the children's threads to the supervisor's thread.
+/// Queue of exits from the children's threads to the supervisor's thread.
 class exit_queue
 {
 public:
@@ -34,14 +34,14 @@
         m_ready.notify_one();
     }
 
-    /// Waits until an exit arrives, @p deadline passes or @p stop is requested.
+    /// Waits for an exit. Returns nothing once @p deadline passes or @p stop is requested.
     std::optional<child_exit> take(std::stop_token stop, std::optional<timestamp> deadline)
     {
         std::unique_lock<std::mutex> lock(m_mutex);
         const auto hasItem = [this] { return !m_items.empty(); };
         if (deadline) {
-            const duration patience = *deadline - boot_clock::now();
-            m_ready.wait_for(lock, stop, std::max(patience, duration::zero()), hasItem);
+            const duration timeout = *deadline - boot_clock::now();
+            m_ready.wait_for(lock, stop, std::max(timeout, duration::zero()), hasItem);
         } else {
             m_ready.wait(lock, stop, hasItem);
         }
@@ -58,7 +58,7 @@
     std::deque<child_exit> m_items;
 };
 
-/// State of one child within a run.
+/// State of one child during a run of the supervisor.
 struct child_state
 {
     std::jthread thread;
@@ -67,20 +67,20 @@
     bool done = false;
 };
 
-result<void> runGuarded(const child_body &body, std::stop_token stop)
+result<void> runCatchingExceptions(const child_body &body, std::stop_token stop)
 {
     try {
         return body(std::move(stop));
-    } catch (const std::exception &problem) {
-        return failure("exception", problem.what());
+    } catch (const std::exception &exception) {
+        return failure("exception", exception.what());
     }
 }
 
 /// One run of a supervisor.
-class supervision
+class supervisor_run
 {
 public:
-    supervision(const supervisor_options &options)
+    supervisor_run(const supervisor_options &options)
         : m_options(options), m_states(options.children.size())
     { }
 
@@ -96,7 +96,7 @@
                 if (!outcome)
                     break;
             }
-            restartDue();
+            restartDueChildren();
         }
         stopAll();
         return outcome;
@@ -109,7 +109,7 @@
         state.restartAt.reset();
         const child_body &body = m_options.children[child].body;
         state.thread = std::jthread([this, child, &body](std::stop_token stop) {
-            m_exits.post({.child = child, .outcome = runGuarded(body, std::move(stop))});
+            m_exits.post({.child = child, .outcome = runCatchingExceptions(body, std::move(stop))});
         });
     }
 
@@ -129,7 +129,7 @@
         return next;
     }
 
-    void restartDue()
+    void restartDueChildren()
     {
         const timestamp now = boot_clock::now();
         for (std::size_t child = 0; child < m_states.size(); ++child) {
@@ -164,10 +164,10 @@
 
     duration backoff(std::size_t failures) const
     {
-        duration wait = m_options.firstBackoff;
-        for (std::size_t i = 1; i < failures && wait < m_options.maxBackoff; ++i)
-            wait *= 2;
-        return std::min(wait, m_options.maxBackoff);
+        duration delay = m_options.firstBackoff;
+        for (std::size_t i = 1; i < failures && delay < m_options.maxBackoff; ++i)
+            delay *= 2;
+        return std::min(delay, m_options.maxBackoff);
     }
 
     void stopAll()
@@ -197,7 +197,7 @@
         assert(isNew);
     }
     return [shared = std::make_shared<const supervisor_options>(std::move(options))](
-               const std::stop_token &stop) { return supervision(*shared).run(stop); };
+               const std::stop_token &stop) { return supervisor_run(*shared).run(stop); };
 }
 
 } // namespace trefoil
--- a/libs/core/src/report.cpp
+++ b/libs/core/src/text_table.cpp
@@ -1,4 +1,4 @@
-#include <core/report.h>
+#include <core/text_table.h>
 
 #include <algorithm>
 #include <array>
@@ -11,17 +11,17 @@
 
 namespace trefoil {
 
-report_table::report_table(std::string title, std::vector<std::string> columns)
+text_table::text_table(std::string title, std::vector<std::string> columns)
     : m_title(std::move(title)), m_columns(std::move(columns))
 { }
 
-void report_table::add(std::vector<std::string> cells)
+void text_table::add(std::vector<std::string> cells)
 {
     assert(cells.size() == m_columns.size());
     m_rows.push_back(std::move(cells));
 }
 
-std::string report_table::text() const
+std::string text_table::text() const
 {
     std::vector<std::size_t> widths;
     for (std::size_t i = 0; i < m_columns.size(); ++i) {
@@ -34,18 +34,18 @@
         std::string joined;
         for (std::size_t i = 0; i < cells.size(); ++i) {
             const std::string padding(widths[i] - cells[i].size(), ' ');
-            // The first column holds names, the others figures.
+            // The first column holds names and is left-aligned; the others hold numbers.
             joined += i == 0 ? cells[i] + padding : "  " + padding + cells[i];
         }
         return joined + "\n";
     };
-    std::string all = m_title + "\n" + line(m_columns);
+    std::string output = m_title + "\n" + line(m_columns);
     for (const std::vector<std::string> &row : m_rows)
-        all += line(row);
-    return all;
+        output += line(row);
+    return output;
 }
 
-std::string report_table::json() const
+std::string text_table::json() const
 {
     Json::Value table(Json::objectValue);
     table["title"] = m_title;
@@ -66,7 +66,7 @@
     return text.data();
 }
 
-int report(const std::vector<report_table> &tables, int argc, char **argv)
+int writeTables(const std::vector<text_table> &tables, int argc, char **argv)
 {
     const std::vector<std::string> arguments(argv + 1, argv + argc);
     const bool wantsJson = arguments.size() == 2 && arguments[0] == "--json";
@@ -74,7 +74,7 @@
         std::cerr << "usage: " << argv[0] << " [--json FILE]\n";
         return 2;
     }
-    for (const report_table &table : tables)
+    for (const text_table &table : tables)
         std::cout << table.text() << "\n";
     if (!wantsJson)
         return 0;
--- a/libs/core/tests/supervisor_test.cpp
+++ b/libs/core/tests/supervisor_test.cpp
@@ -14,7 +14,7 @@
 
 } // namespace
 
-TEST(Supervisor, RestartsAFailingChildAndEndsWhenAllAreDone)
+TEST(Supervisor, RestartsAFailingChildAndEndsWhenAllChildrenAreDone)
 {
     std::atomic<int> runs = 0;
     const child_body root =
@@ -31,7 +31,7 @@
     EXPECT_EQ(runs, 3);
 }
 
-TEST(Supervisor, EscalatesThroughTheTreeWithThePathOfTheChild)
+TEST(Supervisor, EscalatesThroughTheTreeAndNamesTheChildsPath)
 {
     const child_body inner =
         supervise({.name = "inner",
@@ -41,14 +41,14 @@
                                  },
                                  .maxRestarts = 1}},
                    .firstBackoff = shortBackoff});
-    std::atomic<bool> neighbourStopped = false;
+    std::atomic<bool> siblingStopped = false;
     const child_body root =
         supervise({.name = "root",
-                   .children = {{.name = "neighbour",
+                   .children = {{.name = "sibling",
                                  .body = [&](std::stop_token stop) -> result<void> {
                                      while (!stop.stop_requested())
                                          std::this_thread::yield();
-                                     neighbourStopped = true;
+                                     siblingStopped = true;
                                      return {};
                                  }},
                                 {.name = "inner", .body = inner, .maxRestarts = 0}},
@@ -57,7 +57,7 @@
     const result<void> end = root(source.get_token());
     ASSERT_FALSE(end.has_value());
     EXPECT_EQ(end.error().message, "root/inner: inner/broken: always");
-    EXPECT_TRUE(neighbourStopped);
+    EXPECT_TRUE(siblingStopped);
 }
 
 } // namespace trefoil
--- a/libs/limits/benchmarks/bench_limits.cpp
+++ b/libs/limits/benchmarks/bench_limits.cpp
@@ -2,7 +2,7 @@
 
 #include <array>
 
-#include <core/report.h>
+#include <core/text_table.h>
 
 using namespace trefoil;
 
@@ -18,12 +18,11 @@
         {{limit_way::StaticSplit, "equal static split"},
          {limit_way::PlatformLease, "platform lease alone"},
          {limit_way::Confirmations, "owner, grants, confirmations"}}};
-    std::vector<report_table> tables;
+    std::vector<text_table> tables;
     for (const limit_scenario &scenario : limitScenarios()) {
-        report_table table(scenario.name,
-                           {"way", "overshoot tokens", "refused within rate %",
-                            "worst-served team %", "messages/node/s", "platform calls/s",
-                            "requests"});
+        text_table table(scenario.name,
+                         {"way", "overshoot tokens", "refused within rate %", "worst-served team %",
+                          "messages/node/s", "platform calls/s", "requests"});
         for (const named_way &each : ways) {
             const limit_figures figures = limit_world(each.way, scenario, 1).run();
             table.add({each.name, formatNumber(figures.overshoot, 0),
@@ -35,5 +34,5 @@
         }
         tables.push_back(table);
     }
-    return report(tables, argc, argv);
+    return writeTables(tables, argc, argv);
 }
--- a/libs/rollout/benchmarks/bench_rollout.cpp
+++ b/libs/rollout/benchmarks/bench_rollout.cpp
@@ -1,6 +1,6 @@
 #include "rollout_world.h"
 
-#include <core/report.h>
+#include <core/text_table.h>
 
 using namespace trefoil;
 
@@ -39,10 +39,10 @@
 int main(int argc, char **argv)
 {
     constexpr int runs = 100;
-    report_table table("rollouts of 60 s, 18 workers, 100 requests/s, 100 seeds",
-                       {"version", "done in time", "taken back", "worst share before the fault %",
-                        "requests after taking back", "most loads at once",
-                        "baseline: done in time", "baseline: traffic it got %"});
+    text_table table("rollouts of 60 s, 18 workers, 100 requests/s, 100 seeds",
+                     {"version", "done in time", "taken back", "worst share before the fault %",
+                      "requests after taking back", "most loads at once", "baseline: done in time",
+                      "baseline: traffic it got %"});
     for (const rollout_kind &kind : kinds()) {
         int done = 0;
         int back = 0;
@@ -67,5 +67,5 @@
                    std::to_string(mostLoads), std::to_string(baselineDone),
                    formatNumber(baselineShare * 100, 1)});
     }
-    return report({table}, argc, argv);
+    return writeTables({table}, argc, argv);
 }
--- a/libs/routing/benchmarks/bench_routing.cpp
+++ b/libs/routing/benchmarks/bench_routing.cpp
@@ -2,7 +2,7 @@
 
 #include <array>
 
-#include <core/report.h>
+#include <core/text_table.h>
 
 using namespace trefoil;
 
@@ -23,11 +23,11 @@
          {routing_way::PlacementWithoutHomes, "placement without homes"},
          {routing_way::Placement, "placement"},
          {routing_way::Oracle, "oracle"}}};
-    std::vector<report_table> tables;
+    std::vector<text_table> tables;
     for (const routing_scenario &scenario : routingScenarios()) {
-        report_table table(scenario.name,
-                           {"way", "hit rate %", "first token p50 ms", "first token p99 ms",
-                            "wasted recomputation %", "requests"});
+        text_table table(scenario.name,
+                         {"way", "hit rate %", "first token p50 ms", "first token p99 ms",
+                          "wasted recomputation %", "requests"});
         for (const named_way &each : ways) {
             const routing_figures figures = routing_world(each.way, scenario, 1).run();
             table.add({each.name, formatNumber(figures.hitRate * 100, 1),
@@ -37,5 +37,5 @@
         }
         tables.push_back(table);
     }
-    return report(tables, argc, argv);
+    return writeTables(tables, argc, argv);
 }
--- a/standins/src/load_tool.cpp
+++ b/standins/src/load_tool.cpp
@@ -14,7 +14,7 @@
 #include <Poco/Net/HTTPResponse.h>
 #include <core/clock.h>
 #include <core/json.h>
-#include <core/report.h>
+#include <core/text_table.h>
 
 #include "http_util.h"
 
--- a/trefoilrouter/src/verb_explain.cpp
+++ b/trefoilrouter/src/verb_explain.cpp
@@ -6,7 +6,7 @@
 #include <set>
 
 #include <core/json.h>
-#include <core/report.h>
+#include <core/text_table.h>
 
 namespace trefoil {
 
--- a/trefoilrouter/src/verb_keys.cpp
+++ b/trefoilrouter/src/verb_keys.cpp
@@ -6,7 +6,7 @@
 
 #include <control/configuration_store.h>
 #include <core/json.h>
-#include <core/report.h>
+#include <core/text_table.h>
 
 #include "http_platform.h"
 
@@ -98,7 +98,7 @@
         std::cerr << "keys list: " << objects.error().message << "\n";
         return ExitFailed;
     }
-    report_table table("keys", {"digest", "team", "name"});
+    text_table table("keys", {"digest", "team", "name"});
     Json::Value json(Json::arrayValue);
     for (const object &item : *objects) {
         const result<std::vector<key_entry>> keys = keysFromText(item.value);
--- a/trefoilrouter/src/verb_status.cpp
+++ b/trefoilrouter/src/verb_status.cpp
@@ -3,7 +3,7 @@
 #include <iostream>
 
 #include <core/json.h>
-#include <core/report.h>
+#include <core/text_table.h>
 
 #include "http_util.h"
 
@@ -23,27 +23,27 @@
 
 void printText(const Json::Value &report)
 {
-    report_table configuration("configuration",
-                               {"table", "newest", "in force everywhere", "lagging"});
+    text_table configuration("configuration",
+                             {"table", "newest", "in force everywhere", "lagging"});
     const Json::Value &tables = report["configuration"];
     for (const std::string &name : tables.getMemberNames())
         configuration.add({name, tables[name]["newest"].asString(),
                            tables[name]["in_force_everywhere"].asString(),
                            joined(tables[name]["lagging"])});
-    report_table members("members", {"name", "zone", "callers", "state"});
+    text_table members("members", {"name", "zone", "callers", "state"});
     for (const Json::Value &each : report["members"])
         members.add({textOr(each, "name"), textOr(each, "zone"), textOr(each, "callers"),
                      textOr(each, "state")});
-    report_table owners("limits", {"team", "owner"});
+    text_table owners("limits", {"team", "owner"});
     for (const std::string &name : report["limit_owners"].getMemberNames())
         owners.add({name, report["limit_owners"][name].asString()});
-    report_table rollouts("rollouts", {"pool", "from", "to", "stage", "share", "reason"});
+    text_table rollouts("rollouts", {"pool", "from", "to", "stage", "share", "reason"});
     for (const std::string &name : report["rollouts"].getMemberNames()) {
         const Json::Value &each = report["rollouts"][name];
         rollouts.add({name, textOr(each, "from"), textOr(each, "to"), textOr(each, "stage"),
                       formatNumber(numberOr(each, "share"), 2), textOr(each, "reason")});
     }
-    for (const report_table &table : {configuration, members, owners, rollouts})
+    for (const text_table &table : {configuration, members, owners, rollouts})
         std::cout << table.text() << "\n";
     for (const Json::Value &item : report["findings"])
         std::cout << "finding: " << item.asString() << "\n";
