--- a/libs/control/include/control/platform_link.h
+++ b/libs/control/include/control/platform_link.h
@@ -70,7 +70,7 @@
     std::vector<due_read> tick(timestamp now, bool isWatcher);
     /// Notes the end of a read of @p prefix; empty for the list of instances.
     void onDone(timestamp now, read kind, const std::string &prefix, bool success,
-                std::uint64_t upTo);
+                std::uint64_t upToVersion);
     /// Notes that any call succeeded.
     void noteContact(timestamp now) { m_contactAt = now; }
 
--- a/libs/control/src/control_node.cpp
+++ b/libs/control/src/control_node.cpp
@@ -629,21 +629,21 @@
                                 const platform_answer &answer)
 {
     bool success = false;
-    std::uint64_t upTo = 0;
+    std::uint64_t upToVersion = 0;
     if (const result<std::vector<object>> *listed =
             std::get_if<result<std::vector<object>>>(&answer)) {
         success = listed->has_value();
         if (success) {
             takeObjects(now, **listed);
             for (const object &item : **listed)
-                upTo = std::max(upTo, item.version);
+                upToVersion = std::max(upToVersion, item.version);
         }
     } else if (const result<object_changes> *watched =
                    std::get_if<result<object_changes>>(&answer)) {
         success = watched->has_value();
         if (success) {
             takeObjects(now, (*watched)->changed);
-            upTo = (*watched)->upTo;
+            upToVersion = (*watched)->upToVersion;
         }
     } else if (const result<std::vector<listed_instance>> *instances =
                    std::get_if<result<std::vector<listed_instance>>>(&answer)) {
@@ -654,7 +654,7 @@
                 m_listed.push_back(each.name);
         }
     }
-    m_link.onDone(now, purpose.kind, purpose.prefix, success, upTo);
+    m_link.onDone(now, purpose.kind, purpose.prefix, success, upToVersion);
     if (!success || purpose.kind != platform_link::read::Objects)
         return;
     // A right that the list does not hold has no record yet.
--- a/libs/control/src/platform_link.cpp
+++ b/libs/control/src/platform_link.cpp
@@ -57,13 +57,13 @@
 }
 
 void platform_link::onDone(timestamp now, read kind, const std::string &prefix, bool success,
-                           std::uint64_t upTo)
+                           std::uint64_t upToVersion)
 {
     if (success)
         noteContact(now);
     if (kind == read::Watch) {
         m_watchOpen = false;
-        m_watchFrom = std::max(m_watchFrom, upTo);
+        m_watchFrom = std::max(m_watchFrom, upToVersion);
         m_nextWatch = success ? now : now + firstBackoff + m_jitter / 4;
         return;
     }
@@ -80,7 +80,7 @@
             state.loaded = true;
             state.backoff = firstBackoff;
             state.nextRead = now + safetyPeriod + m_jitter;
-            m_watchFrom = std::max(m_watchFrom, &state == &m_prefixes.front() ? upTo : 0);
+            m_watchFrom = std::max(m_watchFrom, &state == &m_prefixes.front() ? upToVersion : 0);
         } else {
             state.nextRead = now + state.backoff + m_jitter / 4;
             state.backoff = std::min(state.backoff * 2, maxBackoff);
--- a/libs/dispatch/src/serving_tables.cpp
+++ b/libs/dispatch/src/serving_tables.cpp
@@ -10,7 +10,7 @@
     const served_route *best = nullptr;
     for (const served_route &route : routes) {
         const bool isLonger = best == nullptr || route.pathPrefix.size() > best->pathPrefix.size();
-        if (isLonger && path.starts_with(route.pathPrefix) && equalNames(route.host, name))
+        if (isLonger && path.starts_with(route.pathPrefix) && equalsIgnoringCase(route.host, name))
             best = &route;
     }
     return best;
--- a/libs/http/include/http/byte_stream.h
+++ b/libs/http/include/http/byte_stream.h
@@ -12,26 +12,26 @@
 
 /// Outcome of a wait for bytes.
 enum class read_outcome {
-    /// New bytes stand at the end of the buffer.
+    /// New bytes were appended to the buffer.
     Bytes,
-    /// The other side ended its stream in order.
+    /// The remote side ended its stream in order.
     End,
     /// The connection was reset or failed.
     Broken,
     /// The deadline passed.
     TimedOut,
-    /// The watched connection was closed by its other side.
-    WatchedLeft
+    /// The remote side of the watched connection closed or reset it.
+    WatchedClosed
 };
 
-/// Error codes of byte_stream::connect(): nothing was sent.
+/// Error codes of byte_stream::connect(). With either, nothing was sent.
 namespace connect_errors {
-/// No process listens there.
+/// No process listens at the address.
 inline constexpr const char *refused = "connection-refused";
 inline constexpr const char *unreachable = "unreachable";
 } // namespace connect_errors
 
-/// TCP connection with a buffer of bytes that were received and not yet used. Every wait has a
+/// TCP connection with a buffer of bytes that were received and not yet consumed. Every wait has a
 /// deadline. Not thread-safe.
 class byte_stream
 {
@@ -39,26 +39,28 @@
     /// Takes over a connected socket.
     explicit byte_stream(const Poco::Net::StreamSocket &socket);
 
-    /// Connects to @p place. Errors: those of connect_errors.
-    static result<byte_stream> connect(const endpoint &place, duration timeout);
+    /// Connects to @p address. Errors: those of connect_errors.
+    static result<byte_stream> connect(const endpoint &address, duration timeout);
 
     /// Waits until @p deadline for bytes and appends them to buffer(). With @p watched, the wait
-    /// also ends when the other side of that connection leaves.
+    /// also ends when the remote side of that connection closes or resets it.
     read_outcome readMore(timestamp deadline, const byte_stream *watched = nullptr);
-    /// Writes all of @p bytes before @p deadline. Bytes that come meanwhile are kept in buffer(),
-    /// so that neither side waits for the other. Returns false on failure.
+    /// Writes all of @p bytes before @p deadline. Bytes received in the meantime are appended to
+    /// buffer(), because a remote side that writes too would deadlock with this one if neither
+    /// read. Returns false on failure.
     bool write(std::string_view bytes, timestamp deadline);
-    /// Returns whether the other side has closed or reset the connection. Takes no bytes.
-    bool hasLeft() const;
-    /// Returns whether nothing was received since the last message: an idle connection that has
-    /// something to read was closed or carries bytes of no request.
-    bool isQuiet() const;
-    /// Closes without an orderly end, so that the other side can't take what it got for whole.
+    /// Returns whether the remote side has closed or reset the connection. Consumes no bytes.
+    bool isClosedByRemote() const;
+    /// Returns whether the connection is open and has nothing to read. A pooled connection with
+    /// something to read was closed or carries bytes that belong to no request.
+    bool isIdle() const;
+    /// Resets the connection, so that the remote side can't mistake a partial message for a
+    /// complete one.
     void abort();
-    /// Ends the sending side in order.
+    /// Shuts down the sending side in order.
     void close();
 
-    /// Returns bytes received and not yet used; the caller erases what it takes.
+    /// Returns the bytes received and not yet consumed; the caller erases what it consumes.
     std::string &buffer() { return m_buffer; }
 
 private:
--- a/libs/http/include/http/chunked.h
+++ b/libs/http/include/http/chunked.h
@@ -6,33 +6,33 @@
 
 namespace trefoil {
 
-/// Progress of a chunked body.
+/// State of a chunked body: more input needed, complete or malformed.
 enum class chunked_state { More, Done, Malformed };
 
-/// Decodes a chunked body piece by piece. Strict: a size that is not hexadecimal, a missing CRLF or
-/// a trailer that is no header line is malformed. Not thread-safe.
+/// Decodes a chunked body incrementally. Strict: a size that is not hexadecimal, a missing CRLF or
+/// a trailer line that is not a header field makes the body malformed. Not thread-safe.
 class chunked_decoder
 {
 public:
-    /// Takes bytes off the front of @p input and appends what they carry to @p body. After Done the
-    /// rest of @p input belongs to the next message.
+    /// Decodes @p input, appends the data to @p body and erases the decoded bytes from @p input.
+    /// After Done, the rest of @p input belongs to the next message.
     chunked_state feed(std::string &input, std::string &body);
 
 private:
     enum class step { Size, Data, DataEnd, Trailer };
 
-    chunked_state takeLine(std::string_view line);
+    chunked_state parseLine(std::string_view line);
 
     step m_step = step::Size;
-    std::uint64_t m_left = 0;
+    std::uint64_t m_remaining = 0;
     std::size_t m_trailerBytes = 0;
 };
 
-/// Appends @p data to @p out as one chunk; an empty @p data appends nothing, since an empty chunk
-/// would end the body. Thread-safe.
+/// Appends @p data to @p out as one chunk. Appends nothing if @p data is empty, since an empty
+/// chunk would end the body. Thread-safe.
 void appendChunk(std::string &out, std::string_view data);
 
-/// Ends a chunked body.
+/// Last chunk and empty trailer section, which end a chunked body.
 inline constexpr std::string_view lastChunk = "0\r\n\r\n";
 
 } // namespace trefoil
--- a/libs/http/include/http/event_cutter.h
+++ b/libs/http/include/http/event_cutter.h
@@ -5,25 +5,26 @@
 
 namespace trefoil {
 
-/// Cuts a byte stream of server-sent events into whole events, so that a stream that breaks inside
-/// an event can go on elsewhere at the last whole one. Events keep their bytes. Not thread-safe.
+/// Splits a byte stream of server-sent events after complete events, so that a stream that breaks
+/// inside an event can be resumed from another server after the last complete one. The events'
+/// bytes stay unchanged. Not thread-safe.
 class event_cutter
 {
 public:
-    /// Appends @p bytes and returns the whole events that they complete, in one piece.
+    /// Appends @p bytes and returns all events that are complete now, concatenated.
     std::string feed(std::string_view bytes);
-    /// Returns what is left of an unfinished event, and forgets it.
-    std::string takeRest();
-    /// Forgets an unfinished event, when another server goes on.
-    void drop() { m_rest.clear(); }
-    /// Returns the id of the last whole event that had one, or "".
-    const std::string &lastId() const { return m_lastId; }
+    /// Returns and discards the bytes of an incomplete event.
+    std::string takeIncomplete();
+    /// Discards an incomplete event, when another server resumes the stream.
+    void discardIncomplete() { m_incomplete.clear(); }
+    /// Returns the id of the last complete event that had one, or "".
+    const std::string &lastEventId() const { return m_lastEventId; }
 
 private:
-    void noteIds(std::string_view events);
+    void updateLastEventId(std::string_view events);
 
-    std::string m_rest;
-    std::string m_lastId;
+    std::string m_incomplete;
+    std::string m_lastEventId;
 };
 
 } // namespace trefoil
--- a/libs/http/src/byte_stream.cpp
+++ b/libs/http/src/byte_stream.cpp
@@ -14,18 +14,21 @@
 
 namespace {
 
-/// Bytes received at once: more than a usual message, less than a thread's stack.
+/// Bytes read by one receive call: larger than a usual message, small enough for a thread's stack.
 constexpr std::size_t receiveBytes = 16 * 1024;
 
 int millisecondsUntil(timestamp deadline)
 {
-    constexpr std::int64_t longest = 3'600'000;
-    const std::int64_t left =
+    constexpr std::int64_t maxMilliseconds = 3'600'000;
+    const std::int64_t remaining =
         toMilliseconds(deadline - boot_clock::now() + std::chrono::microseconds(999));
-    return static_cast<int>(std::clamp<std::int64_t>(left, 0, longest));
+    return static_cast<int>(std::clamp<std::int64_t>(remaining, 0, maxMilliseconds));
 }
 
-bool hasClosed(const pollfd &each) { return (each.revents & (POLLRDHUP | POLLHUP | POLLERR)) != 0; }
+bool isHangUp(const pollfd &entry)
+{
+    return (entry.revents & (POLLRDHUP | POLLHUP | POLLERR)) != 0;
+}
 
 } // namespace
 
@@ -35,14 +38,14 @@
     m_socket.setBlocking(false);
 }
 
-result<byte_stream> byte_stream::connect(const endpoint &place, duration timeout)
+result<byte_stream> byte_stream::connect(const endpoint &address, duration timeout)
 {
-    const std::string name = place.host + ":" + std::to_string(place.port);
+    const std::string name = address.host + ":" + std::to_string(address.port);
     try {
         Poco::Net::StreamSocket socket;
-        const Poco::Timespan patience(
+        const Poco::Timespan pocoTimeout(
             std::chrono::duration_cast<std::chrono::microseconds>(timeout).count());
-        socket.connect(Poco::Net::SocketAddress(place.host, place.port), patience);
+        socket.connect(Poco::Net::SocketAddress(address.host, address.port), pocoTimeout);
         return byte_stream(socket);
     } catch (const Poco::Net::ConnectionRefusedException &) {
         return failure(connect_errors::refused, name + " refused the connection");
@@ -53,10 +56,10 @@
 
 read_outcome byte_stream::receive()
 {
-    std::array<char, receiveBytes> room {};
-    const ssize_t size = ::recv(m_socket.impl()->sockfd(), room.data(), room.size(), 0);
+    std::array<char, receiveBytes> received {};
+    const ssize_t size = ::recv(m_socket.impl()->sockfd(), received.data(), received.size(), 0);
     if (size > 0) {
-        m_buffer.append(room.data(), static_cast<std::size_t>(size));
+        m_buffer.append(received.data(), static_cast<std::size_t>(size));
         return read_outcome::Bytes;
     }
     if (size == 0)
@@ -66,22 +69,22 @@
 
 read_outcome byte_stream::readMore(timestamp deadline, const byte_stream *watched)
 {
-    std::array<pollfd, 2> waits {};
-    waits[0] = {.fd = m_socket.impl()->sockfd(), .events = POLLIN, .revents = 0};
-    waits[1] = {.fd = watched != nullptr ? watched->m_socket.impl()->sockfd() : -1,
-                .events = POLLRDHUP,
-                .revents = 0};
+    std::array<pollfd, 2> polled {};
+    polled[0] = {.fd = m_socket.impl()->sockfd(), .events = POLLIN, .revents = 0};
+    polled[1] = {.fd = watched != nullptr ? watched->m_socket.impl()->sockfd() : -1,
+                 .events = POLLRDHUP,
+                 .revents = 0};
     while (true) {
-        const int ready = ::poll(waits.data(), waits.size(), millisecondsUntil(deadline));
+        const int ready = ::poll(polled.data(), polled.size(), millisecondsUntil(deadline));
         if (ready < 0 && errno != EINTR)
             return read_outcome::Broken;
-        if (ready > 0 && waits[0].revents != 0) {
+        if (ready > 0 && polled[0].revents != 0) {
             const read_outcome outcome = receive();
             if (outcome != read_outcome::TimedOut)
                 return outcome;
         }
-        if (ready > 0 && hasClosed(waits[1]))
-            return read_outcome::WatchedLeft;
+        if (ready > 0 && isHangUp(polled[1]))
+            return read_outcome::WatchedClosed;
         if (boot_clock::now() >= deadline)
             return read_outcome::TimedOut;
     }
@@ -89,7 +92,7 @@
 
 bool byte_stream::write(std::string_view bytes, timestamp deadline)
 {
-    bool hasEnded = false;
+    bool isReadEnded = false;
     while (!bytes.empty()) {
         const ssize_t size =
             ::send(m_socket.impl()->sockfd(), bytes.data(), bytes.size(), MSG_NOSIGNAL);
@@ -99,23 +102,23 @@
         }
         if (errno != EAGAIN && errno != EINTR)
             return false;
-        const short interest = static_cast<short>(hasEnded ? POLLOUT : POLLOUT | POLLIN);
-        pollfd wait {.fd = m_socket.impl()->sockfd(), .events = interest, .revents = 0};
+        const short events = static_cast<short>(isReadEnded ? POLLOUT : POLLOUT | POLLIN);
+        pollfd wait {.fd = m_socket.impl()->sockfd(), .events = events, .revents = 0};
         if (::poll(&wait, 1, millisecondsUntil(deadline)) <= 0 && boot_clock::now() >= deadline)
             return false;
         if ((wait.revents & POLLIN) != 0)
-            hasEnded = receive() != read_outcome::Bytes;
+            isReadEnded = receive() != read_outcome::Bytes;
     }
     return true;
 }
 
-bool byte_stream::hasLeft() const
+bool byte_stream::isClosedByRemote() const
 {
     pollfd wait {.fd = m_socket.impl()->sockfd(), .events = POLLRDHUP, .revents = 0};
-    return ::poll(&wait, 1, 0) > 0 && hasClosed(wait);
+    return ::poll(&wait, 1, 0) > 0 && isHangUp(wait);
 }
 
-bool byte_stream::isQuiet() const
+bool byte_stream::isIdle() const
 {
     pollfd wait {.fd = m_socket.impl()->sockfd(), .events = POLLIN | POLLRDHUP, .revents = 0};
     return m_buffer.empty() && ::poll(&wait, 1, 0) == 0;
@@ -127,7 +130,7 @@
         m_socket.setLinger(true, 0);
         m_socket.close();
     } catch (const Poco::Exception &) {
-        // The socket is gone already, which is what was wanted.
+        // The socket is closed already.
     }
 }
 
@@ -136,7 +139,7 @@
     try {
         m_socket.shutdownSend();
     } catch (const Poco::Exception &) {
-        // The other side closed first.
+        // The remote side closed the connection first.
     }
 }
 
--- a/libs/http/src/chunked.cpp
+++ b/libs/http/src/chunked.cpp
@@ -8,44 +8,44 @@
 
 namespace {
 
-constexpr int hexadecimal = 16;
-/// Longest chunk-size line; extensions are dropped, so more than this is abuse.
+constexpr int hexBase = 16;
+/// Limit on a chunk-size line. Chunk extensions are ignored, so a longer line is abuse.
 constexpr std::size_t maxSizeLineBytes = 256;
-/// Longest trailer section taken.
+/// Limit on the trailer section.
 constexpr std::size_t maxTrailerBytes = 8192;
-/// Largest chunk taken: bodies are bounded far below.
+/// Limit on the size of a chunk; the limits on bodies are far lower.
 constexpr std::uint64_t maxChunkBytes = std::uint64_t {1} << 40;
 
 } // namespace
 
 chunked_state chunked_decoder::feed(std::string &input, std::string &body)
 {
-    std::size_t taken = 0;
+    std::size_t consumed = 0;
     chunked_state state = chunked_state::More;
     while (state == chunked_state::More) {
         if (m_step == step::Data) {
-            const std::size_t size = std::min<std::uint64_t>(m_left, input.size() - taken);
-            body.append(input, taken, size);
-            taken += size;
-            m_left -= size;
-            if (m_left > 0)
+            const std::size_t size = std::min<std::uint64_t>(m_remaining, input.size() - consumed);
+            body.append(input, consumed, size);
+            consumed += size;
+            m_remaining -= size;
+            if (m_remaining > 0)
                 break;
             m_step = step::DataEnd;
         }
-        const std::size_t end = input.find("\r\n", taken);
+        const std::size_t end = input.find("\r\n", consumed);
         if (end == std::string::npos) {
-            if (input.size() - taken > maxSizeLineBytes + maxTrailerBytes)
+            if (input.size() - consumed > maxSizeLineBytes + maxTrailerBytes)
                 state = chunked_state::Malformed;
             break;
         }
-        state = takeLine(std::string_view(input).substr(taken, end - taken));
-        taken = end + 2;
+        state = parseLine(std::string_view(input).substr(consumed, end - consumed));
+        consumed = end + 2;
     }
-    input.erase(0, taken);
+    input.erase(0, consumed);
     return state;
 }
 
-chunked_state chunked_decoder::takeLine(std::string_view line)
+chunked_state chunked_decoder::parseLine(std::string_view line)
 {
     if (line.find_first_of("\r\n") != std::string_view::npos)
         return chunked_state::Malformed;
@@ -64,11 +64,11 @@
     const std::string_view digits = line.substr(0, line.find(';'));
     std::uint64_t size = 0;
     const std::from_chars_result parsed =
-        std::from_chars(digits.data(), digits.data() + digits.size(), size, hexadecimal);
+        std::from_chars(digits.data(), digits.data() + digits.size(), size, hexBase);
     if (digits.empty() || line.size() > maxSizeLineBytes || parsed.ec != std::errc {}
         || parsed.ptr != digits.data() + digits.size() || size > maxChunkBytes)
         return chunked_state::Malformed;
-    m_left = size;
+    m_remaining = size;
     m_step = size == 0 ? step::Trailer : step::Data;
     return chunked_state::More;
 }
@@ -77,9 +77,9 @@
 {
     if (data.empty())
         return;
-    std::array<char, hexadecimal> digits {};
+    std::array<char, hexBase> digits {};
     const std::to_chars_result written =
-        std::to_chars(digits.data(), digits.data() + digits.size(), data.size(), hexadecimal);
+        std::to_chars(digits.data(), digits.data() + digits.size(), data.size(), hexBase);
     out.append(digits.data(), written.ptr).append("\r\n").append(data).append("\r\n");
 }
 
--- a/libs/http/src/event_cutter.cpp
+++ b/libs/http/src/event_cutter.cpp
@@ -7,48 +7,48 @@
 
 namespace {
 
-/// Returns the end of the last whole event in @p text, 0 where there is none.
-std::size_t endOfLastEvent(std::string_view text)
+/// Returns the end of the last complete event in @p text, or 0 if there is none.
+std::size_t endOfLastCompleteEvent(std::string_view text)
 {
-    const std::size_t plain = text.rfind("\n\n");
-    const std::size_t carriage = text.rfind("\r\n\r\n");
-    constexpr std::size_t plainSize = 2;
-    constexpr std::size_t carriageSize = 4;
-    const std::size_t plainEnd = plain == std::string_view::npos ? 0 : plain + plainSize;
-    const std::size_t carriageEnd =
-        carriage == std::string_view::npos ? 0 : carriage + carriageSize;
-    return std::max(plainEnd, carriageEnd);
+    const std::size_t lineFeeds = text.rfind("\n\n");
+    const std::size_t crlfs = text.rfind("\r\n\r\n");
+    constexpr std::size_t lineFeedsSize = 2;
+    constexpr std::size_t crlfsSize = 4;
+    const std::size_t lineFeedsEnd =
+        lineFeeds == std::string_view::npos ? 0 : lineFeeds + lineFeedsSize;
+    const std::size_t crlfsEnd = crlfs == std::string_view::npos ? 0 : crlfs + crlfsSize;
+    return std::max(lineFeedsEnd, crlfsEnd);
 }
 
 } // namespace
 
 std::string event_cutter::feed(std::string_view bytes)
 {
-    m_rest.append(bytes);
-    const std::size_t end = endOfLastEvent(m_rest);
-    std::string events = m_rest.substr(0, end);
-    m_rest.erase(0, end);
-    noteIds(events);
+    m_incomplete.append(bytes);
+    const std::size_t end = endOfLastCompleteEvent(m_incomplete);
+    std::string events = m_incomplete.substr(0, end);
+    m_incomplete.erase(0, end);
+    updateLastEventId(events);
     return events;
 }
 
-std::string event_cutter::takeRest() { return std::exchange(m_rest, {}); }
+std::string event_cutter::takeIncomplete() { return std::exchange(m_incomplete, {}); }
 
-void event_cutter::noteIds(std::string_view events)
+void event_cutter::updateLastEventId(std::string_view events)
 {
-    constexpr std::string_view field = "id:";
+    constexpr std::string_view fieldName = "id:";
     while (!events.empty()) {
         const std::size_t end = events.find('\n');
         std::string_view line = events.substr(0, end);
         events = end == std::string_view::npos ? std::string_view {} : events.substr(end + 1);
-        if (!line.starts_with(field))
+        if (!line.starts_with(fieldName))
             continue;
-        line.remove_prefix(field.size());
+        line.remove_prefix(fieldName.size());
         if (line.starts_with(' '))
             line.remove_prefix(1);
         if (line.ends_with('\r'))
             line.remove_suffix(1);
-        m_lastId = std::string(line);
+        m_lastEventId = std::string(line);
     }
 }
 
--- a/libs/http/src/message.cpp
+++ b/libs/http/src/message.cpp
@@ -23,9 +23,9 @@
 
 bool isTokenCharacter(char c)
 {
-    constexpr std::string_view extra = "!#$%&'*+-.^_`|~";
+    constexpr std::string_view symbols = "!#$%&'*+-.^_`|~";
     return std::isalnum(static_cast<unsigned char>(c)) != 0
-        || extra.find(c) != std::string_view::npos;
+        || symbols.find(c) != std::string_view::npos;
 }
 
 bool isToken(std::string_view text)
@@ -50,8 +50,8 @@
     return text;
 }
 
-/// Takes the next line off @p rest. Returns nothing where the line holds a bare CR or LF.
-std::optional<std::string_view> takeLine(std::string_view &rest)
+/// Removes the next line from @p rest and returns it, or nothing if it contains a bare CR or LF.
+std::optional<std::string_view> nextLine(std::string_view &rest)
 {
     const std::size_t end = rest.find("\r\n");
     const std::string_view line = rest.substr(0, end);
@@ -61,11 +61,11 @@
     return line;
 }
 
-/// Reads the lines of @p rest into @p headers. Returns what is wrong, or "".
-std::string_view readFields(std::string_view rest, header_list &headers)
+/// Parses the lines of @p rest into @p headers. Returns an error message, or "" on success.
+std::string_view parseFields(std::string_view rest, header_list &headers)
 {
     while (!rest.empty()) {
-        const std::optional<std::string_view> line = takeLine(rest);
+        const std::optional<std::string_view> line = nextLine(rest);
         if (!line)
             return "a header line holds a bare CR or LF";
         const std::size_t colon = line->find(':');
@@ -79,14 +79,15 @@
     return "";
 }
 
-/// Reads Transfer-Encoding and Content-Length. Returns what is wrong, or "".
-std::string_view readFraming(const header_list &headers, std::optional<body_framing> &framing)
+/// Determines @p framing from Transfer-Encoding and Content-Length; leaves it empty if neither is
+/// present. Returns an error message, or "" on success.
+std::string_view parseFraming(const header_list &headers, std::optional<body_framing> &framing)
 {
     const bool hasLength = headers.has("Content-Length");
     if (headers.has("Transfer-Encoding")) {
         if (hasLength || headers.count("Transfer-Encoding") > 1)
             return "the body has two framings";
-        if (!equalNames(headers.value("Transfer-Encoding"), "chunked"))
+        if (!equalsIgnoringCase(headers.value("Transfer-Encoding"), "chunked"))
             return "the transfer encoding is not \"chunked\"";
         framing = body_framing {.end = body_end::Chunked};
         return "";
@@ -107,7 +108,7 @@
 std::string_view header_list::value(std::string_view name) const
 {
     for (const header_field &field : m_fields) {
-        if (equalNames(field.name, name))
+        if (equalsIgnoringCase(field.name, name))
             return field.value;
     }
     return "";
@@ -118,19 +119,20 @@
 std::size_t header_list::count(std::string_view name) const
 {
     return static_cast<std::size_t>(
-        std::count_if(m_fields.begin(), m_fields.end(),
-                      [name](const header_field &field) { return equalNames(field.name, name); }));
+        std::count_if(m_fields.begin(), m_fields.end(), [name](const header_field &field) {
+            return equalsIgnoringCase(field.name, name);
+        }));
 }
 
 bool header_list::hasToken(std::string_view name, std::string_view token) const
 {
     for (const header_field &field : m_fields) {
-        if (!equalNames(field.name, name))
+        if (!equalsIgnoringCase(field.name, name))
             continue;
         std::string_view rest = field.value;
         while (!rest.empty()) {
             const std::size_t comma = rest.find(',');
-            if (equalNames(trimmed(rest.substr(0, comma)), token))
+            if (equalsIgnoringCase(trimmed(rest.substr(0, comma)), token))
                 return true;
             rest = comma == std::string_view::npos ? std::string_view {} : rest.substr(comma + 1);
         }
@@ -145,35 +147,37 @@
 
 void header_list::remove(std::string_view name)
 {
-    std::erase_if(m_fields,
-                  [name](const header_field &field) { return equalNames(field.name, name); });
+    std::erase_if(m_fields, [name](const header_field &field) {
+        return equalsIgnoringCase(field.name, name);
+    });
 }
 
 result<request_head> parseRequestHead(std::string_view text)
 {
     constexpr const char *code = "bad-request";
-    const std::optional<std::string_view> line = takeLine(text);
+    const std::optional<std::string_view> line = nextLine(text);
     if (!line)
         return failure(code, "the request line holds a bare CR or LF");
-    const std::size_t first = line->find(' ');
-    const std::size_t last = line->rfind(' ');
-    if (first == std::string_view::npos || first == last)
+    const std::size_t firstSpace = line->find(' ');
+    const std::size_t lastSpace = line->rfind(' ');
+    if (firstSpace == std::string_view::npos || firstSpace == lastSpace)
         return failure(code, "the request line has not three parts");
-    request_head head {.method = std::string(line->substr(0, first)),
-                       .target = std::string(line->substr(first + 1, last - first - 1))};
-    const std::string_view version = line->substr(last + 1);
+    request_head head {.method = std::string(line->substr(0, firstSpace)),
+                       .target =
+                           std::string(line->substr(firstSpace + 1, lastSpace - firstSpace - 1))};
+    const std::string_view version = line->substr(lastSpace + 1);
     if (!isToken(head.method))
         return failure(code, "the method is not a token");
-    const auto isBad = [](char c) { return c == ' ' || c == '\t' || isControl(c); };
+    const auto isForbidden = [](char c) { return c == ' ' || c == '\t' || isControl(c); };
     if (head.target.empty() || head.target.front() != '/'
-        || std::any_of(head.target.begin(), head.target.end(), isBad))
+        || std::any_of(head.target.begin(), head.target.end(), isForbidden))
         return failure(code, "the target is not a path");
     if (version != "HTTP/1.1" && version != "HTTP/1.0")
         return failure(code, "the protocol version is not HTTP/1.1");
     head.isHttp10 = version == "HTTP/1.0";
-    const std::string_view wrong = readFields(text, head.headers);
-    if (!wrong.empty())
-        return failure(code, std::string(wrong));
+    const std::string_view problem = parseFields(text, head.headers);
+    if (!problem.empty())
+        return failure(code, std::string(problem));
     const std::size_t hosts = head.headers.count("Host");
     if (hosts > 1 || (hosts == 0 && !head.isHttp10))
         return failure(code, "there is not exactly one Host");
@@ -185,32 +189,32 @@
     constexpr const char *code = "bad-response";
     constexpr std::size_t versionLength = 8;
     constexpr std::size_t statusEnd = 12;
-    const std::optional<std::string_view> line = takeLine(text);
+    const std::optional<std::string_view> line = nextLine(text);
     if (!line || line->size() < statusEnd)
         return failure(code, "the status line is malformed");
     const std::string_view version = line->substr(0, versionLength);
     const std::optional<std::uint64_t> status =
         parseDecimal(line->substr(versionLength + 1, statusEnd - versionLength - 1));
-    constexpr std::uint64_t leastStatus = 100;
-    const bool endsThere = line->size() == statusEnd || (*line)[statusEnd] == ' ';
+    constexpr std::uint64_t minStatus = 100;
+    const bool statusEnds = line->size() == statusEnd || (*line)[statusEnd] == ' ';
     if ((version != "HTTP/1.1" && version != "HTTP/1.0") || (*line)[versionLength] != ' '
-        || !endsThere || !status || *status < leastStatus)
+        || !statusEnds || !status || *status < minStatus)
         return failure(code, "the status line is malformed");
     response_head head {.status = static_cast<int>(*status), .isHttp10 = version == "HTTP/1.0"};
     if (line->size() > statusEnd + 1)
         head.reason = std::string(line->substr(statusEnd + 1));
-    const std::string_view wrong = readFields(text, head.headers);
-    if (!wrong.empty())
-        return failure(code, std::string(wrong));
+    const std::string_view problem = parseFields(text, head.headers);
+    if (!problem.empty())
+        return failure(code, std::string(problem));
     return head;
 }
 
 result<body_framing> framingOf(const request_head &head)
 {
     std::optional<body_framing> framing;
-    const std::string_view wrong = readFraming(head.headers, framing);
-    if (!wrong.empty())
-        return failure("bad-request", std::string(wrong));
+    const std::string_view problem = parseFraming(head.headers, framing);
+    if (!problem.empty())
+        return failure("bad-request", std::string(problem));
     if (head.isHttp10 && framing && framing->end == body_end::Chunked)
         return failure("bad-request", "HTTP/1.0 has no chunked bodies");
     return framing.value_or(body_framing {});
@@ -225,13 +229,13 @@
         || head.status == notModified)
         return body_framing {};
     std::optional<body_framing> framing;
-    const std::string_view wrong = readFraming(head.headers, framing);
-    if (!wrong.empty())
-        return failure("bad-response", std::string(wrong));
+    const std::string_view problem = parseFraming(head.headers, framing);
+    if (!problem.empty())
+        return failure("bad-response", std::string(problem));
     return framing.value_or(body_framing {.end = body_end::Close});
 }
 
-bool keepsConnection(const header_list &headers, bool isHttp10)
+bool isKeepAlive(const header_list &headers, bool isHttp10)
 {
     if (headers.hasToken("Connection", "close"))
         return false;
@@ -242,17 +246,18 @@
 {
     const bool isStandard =
         std::any_of(hopByHopNames.begin(), hopByHopNames.end(),
-                    [name](std::string_view each) { return equalNames(each, name); });
+                    [name](std::string_view each) { return equalsIgnoringCase(each, name); });
     return isStandard || headers.hasToken("Connection", name);
 }
 
-bool equalNames(std::string_view left, std::string_view right)
+bool equalsIgnoringCase(std::string_view left, std::string_view right)
 {
-    const auto same = [](char a, char b) {
+    const auto equalCharacters = [](char a, char b) {
         return std::tolower(static_cast<unsigned char>(a))
             == std::tolower(static_cast<unsigned char>(b));
     };
-    return left.size() == right.size() && std::equal(left.begin(), left.end(), right.begin(), same);
+    return left.size() == right.size()
+        && std::equal(left.begin(), left.end(), right.begin(), equalCharacters);
 }
 
 void appendField(std::string &text, std::string_view name, std::string_view value)
--- a/libs/http/tests/byte_stream_test.cpp
+++ b/libs/http/tests/byte_stream_test.cpp
@@ -15,75 +15,76 @@
 {
     connected_pair()
         : server(Poco::Net::SocketAddress("127.0.0.1", 0)),
-          near(*byte_stream::connect({.host = "127.0.0.1", .port = server.address().port()},
-                                     std::chrono::seconds(2))),
-          far(server.acceptConnection())
+          local(*byte_stream::connect({.host = "127.0.0.1", .port = server.address().port()},
+                                      std::chrono::seconds(2))),
+          remote(server.acceptConnection())
     { }
 
     Poco::Net::ServerSocket server;
-    byte_stream near;
-    byte_stream far;
+    byte_stream local;
+    byte_stream remote;
 };
 
-timestamp soon(int milliseconds)
+timestamp fromNow(int milliseconds)
 {
     return boot_clock::now() + std::chrono::milliseconds(milliseconds);
 }
 
 } // namespace
 
-TEST(ByteStream, AWaitEndsAtItsDeadline)
+TEST(ByteStream, ReadTimesOutAtItsDeadline)
 {
     connected_pair pair;
     const timestamp start = boot_clock::now();
-    EXPECT_EQ(pair.near.readMore(soon(50)), read_outcome::TimedOut);
+    EXPECT_EQ(pair.local.readMore(fromNow(50)), read_outcome::TimedOut);
     EXPECT_GE(boot_clock::now() - start, std::chrono::milliseconds(50));
 }
 
-TEST(ByteStream, TellsAnOrderlyEndFromABreak)
+TEST(ByteStream, DistinguishesAnOrderlyEndFromAReset)
 {
-    connected_pair ended;
-    ended.far.close();
-    EXPECT_EQ(ended.near.readMore(soon(1000)), read_outcome::End);
-    connected_pair broken;
-    broken.far.abort();
-    EXPECT_EQ(broken.near.readMore(soon(1000)), read_outcome::Broken);
+    connected_pair shutDown;
+    shutDown.remote.close();
+    EXPECT_EQ(shutDown.local.readMore(fromNow(1000)), read_outcome::End);
+    connected_pair reset;
+    reset.remote.abort();
+    EXPECT_EQ(reset.local.readMore(fromNow(1000)), read_outcome::Broken);
 }
 
-TEST(ByteStream, AWaitEndsWhenTheWatchedCallerLeaves)
+TEST(ByteStream, ReadEndsWhenTheWatchedConnectionCloses)
 {
     connected_pair server;
     connected_pair caller;
-    caller.near.abort();
-    EXPECT_EQ(server.near.readMore(soon(1000), &caller.far), read_outcome::WatchedLeft);
-    EXPECT_TRUE(caller.far.hasLeft());
+    caller.local.abort();
+    EXPECT_EQ(server.local.readMore(fromNow(1000), &caller.remote), read_outcome::WatchedClosed);
+    EXPECT_TRUE(caller.remote.isClosedByRemote());
 }
 
-TEST(ByteStream, AnIdleConnectionWithBytesIsNotQuiet)
+TEST(ByteStream, ConnectionWithUnreadBytesIsNotIdle)
 {
     connected_pair pair;
-    EXPECT_TRUE(pair.near.isQuiet());
-    ASSERT_TRUE(pair.far.write("late answer", soon(1000)));
-    EXPECT_EQ(pair.near.readMore(soon(1000)), read_outcome::Bytes);
-    EXPECT_FALSE(pair.near.isQuiet());
+    EXPECT_TRUE(pair.local.isIdle());
+    ASSERT_TRUE(pair.remote.write("late answer", fromNow(1000)));
+    EXPECT_EQ(pair.local.readMore(fromNow(1000)), read_outcome::Bytes);
+    EXPECT_FALSE(pair.local.isIdle());
 }
 
-TEST(ByteStream, ALongWriteGoesOnWhileTheOtherSideAnswersEarly)
+TEST(ByteStream, LongWriteContinuesWhenTheRemoteSideAnswersEarly)
 {
     connected_pair pair;
     const std::string body(8u << 20, 'x');
-    std::jthread other([&pair] {
-        pair.far.write("early", soon(5000));
-        while (pair.far.readMore(soon(300)) == read_outcome::Bytes)
-            pair.far.buffer().clear();
+    std::jthread remoteThread([&pair] {
+        pair.remote.write("early", fromNow(5000));
+        while (pair.remote.readMore(fromNow(300)) == read_outcome::Bytes)
+            pair.remote.buffer().clear();
     });
-    EXPECT_TRUE(pair.near.write(body, soon(5000)));
-    while (pair.near.buffer().size() < 5 && pair.near.readMore(soon(1000)) == read_outcome::Bytes) {
+    EXPECT_TRUE(pair.local.write(body, fromNow(5000)));
+    while (pair.local.buffer().size() < 5
+           && pair.local.readMore(fromNow(1000)) == read_outcome::Bytes) {
     }
-    EXPECT_EQ(pair.near.buffer(), "early");
+    EXPECT_EQ(pair.local.buffer(), "early");
 }
 
-TEST(ByteStream, AClosedPortIsRefusedBeforeAnythingIsSent)
+TEST(ByteStream, ClosedPortRefusesTheConnection)
 {
     Poco::Net::ServerSocket server(Poco::Net::SocketAddress("127.0.0.1", 0));
     const std::uint16_t port = server.address().port();
--- a/libs/http/tests/chunked_test.cpp
+++ b/libs/http/tests/chunked_test.cpp
@@ -4,27 +4,27 @@
 
 namespace trefoil {
 
-TEST(Chunked, DecodesWhateverThePiecesAre)
+TEST(Chunked, DecodesInputSplitAnywhere)
 {
-    const std::string whole = "5;x=y\r\nhello\r\n6\r\n world\r\n0\r\nX: y\r\n\r\nnext";
-    for (std::size_t piece = 1; piece <= whole.size(); ++piece) {
+    const std::string encoded = "5;x=y\r\nhello\r\n6\r\n world\r\n0\r\nX: y\r\n\r\nnext";
+    for (std::size_t pieceSize = 1; pieceSize <= encoded.size(); ++pieceSize) {
         chunked_decoder decoder;
         std::string input;
         std::string body;
         chunked_state state = chunked_state::More;
-        std::size_t given = 0;
-        while (state == chunked_state::More && given < whole.size()) {
-            input += whole.substr(given, piece);
-            given += piece;
+        std::size_t fed = 0;
+        while (state == chunked_state::More && fed < encoded.size()) {
+            input += encoded.substr(fed, pieceSize);
+            fed += pieceSize;
             state = decoder.feed(input, body);
         }
-        ASSERT_EQ(state, chunked_state::Done) << piece;
-        EXPECT_EQ(body, "hello world") << piece;
-        EXPECT_EQ(input + whole.substr(std::min(given, whole.size())), "next") << piece;
+        ASSERT_EQ(state, chunked_state::Done) << pieceSize;
+        EXPECT_EQ(body, "hello world") << pieceSize;
+        EXPECT_EQ(input + encoded.substr(std::min(fed, encoded.size())), "next") << pieceSize;
     }
 }
 
-TEST(Chunked, RefusesMalformedSizesAndEnds)
+TEST(Chunked, RejectsMalformedSizesAndLineEnds)
 {
     for (const char *text : {"g\r\n", "-1\r\n", " 5\r\nhello\r\n", "\r\n", "5\r\nhelloX\r\n",
                              "5\nhello\r\n0\r\n\r\n", "fffffffffffffffff\r\n"}) {
@@ -35,7 +35,7 @@
     }
 }
 
-TEST(Chunked, AnEmptyPieceDoesNotEndTheBody)
+TEST(Chunked, EmptyDataDoesNotEndTheBody)
 {
     std::string out;
     appendChunk(out, "");
--- a/libs/http/tests/message_test.cpp
+++ b/libs/http/tests/message_test.cpp
@@ -7,7 +7,7 @@
 
 namespace trefoil {
 
-TEST(Message, ReadsARequestAndItsFields)
+TEST(Message, ParsesARequestHead)
 {
     const result<request_head> head =
         parseRequestHead("POST /a/b?x=1 HTTP/1.1\r\nHost: shop.example\r\nX-Two: a\r\nx-two: b");
@@ -18,9 +18,9 @@
     EXPECT_EQ(head->headers.count("X-Two"), 2u);
 }
 
-TEST(Message, RefusesRequestsThatOthersMayReadInAnotherWay)
+TEST(Message, RejectsAmbiguousRequestHeads)
 {
-    const std::vector<std::string> refused {
+    const std::vector<std::string> rejected {
         "GET / HTTP/1.1\r\nHost: a\r\nHost: b",
         "GET / HTTP/1.1",
         "GET / HTTP/1.1\r\nHost: a\r\nX-One : 1",
@@ -34,13 +34,13 @@
         "G(T / HTTP/1.1\r\nHost: a",
         std::string("GET / HTTP/1.1\r\nHost: a\r\nX: ") + '\0',
     };
-    for (const std::string &text : refused)
+    for (const std::string &text : rejected)
         EXPECT_FALSE(parseRequestHead(text)) << text;
 }
 
-TEST(Message, RefusesTwoFramingsOfOneBody)
+TEST(Message, RejectsAmbiguousOrMalformedFraming)
 {
-    const std::vector<std::string> refused {
+    const std::vector<std::string> rejected {
         "Content-Length: 3\r\nContent-Length: 3",
         "Content-Length: 3\r\nTransfer-Encoding: chunked",
         "Transfer-Encoding: chunked\r\nTransfer-Encoding: chunked",
@@ -51,7 +51,7 @@
         "Content-Length: ",
         "Content-Length: 99999999999999999999",
     };
-    for (const std::string &fields : refused) {
+    for (const std::string &fields : rejected) {
         const result<request_head> head =
             parseRequestHead("POST / HTTP/1.1\r\nHost: a\r\n" + fields);
         ASSERT_TRUE(head) << fields;
@@ -59,7 +59,7 @@
     }
 }
 
-TEST(Message, TellsHowAnAnswerEnds)
+TEST(Message, DeterminesTheFramingOfAResponse)
 {
     const result<response_head> plain = parseResponseHead("HTTP/1.1 200 OK\r\nX: y");
     ASSERT_TRUE(plain);
@@ -74,19 +74,19 @@
     EXPECT_EQ(framingOf(*sized, "GET")->length, 12u);
 }
 
-TEST(Message, RefusesBytesThatAreNoAnswer)
+TEST(Message, RejectsMalformedResponseHeads)
 {
     for (const char *text : {"", "garbage", "HTTP/1.1 OK", "HTTP/1.1 2000", "HTTP/1.1 099 no",
                              "HTTP/1.1 200 OK\r\nbroken line"})
         EXPECT_FALSE(parseResponseHead(text)) << text;
 }
 
-TEST(Message, KnowsWhatConcernsOneConnection)
+TEST(Message, RecognisesConnectionSpecificFields)
 {
     const result<request_head> head =
         parseRequestHead("GET / HTTP/1.1\r\nHost: a\r\nConnection: close, X-Mine\r\nX-Mine: 1");
     ASSERT_TRUE(head);
-    EXPECT_FALSE(keepsConnection(head->headers, false));
+    EXPECT_FALSE(isKeepAlive(head->headers, false));
     EXPECT_TRUE(isHopByHop("x-mine", head->headers));
     EXPECT_TRUE(isHopByHop("Transfer-Encoding", head->headers));
     EXPECT_FALSE(isHopByHop("Host", head->headers));
--- a/libs/platform/include/platform/call_budget.h
+++ b/libs/platform/include/platform/call_budget.h
@@ -7,25 +7,28 @@
 
 namespace trefoil {
 
-/// Counts and bounds the calls that this process makes to the platform. Thread-safe.
+/// Token bucket that limits and counts the calls that this process makes to the platform.
+/// Thread-safe.
 class call_budget
 {
 public:
-    /// Allows @p callsPerSecond with a burst of two seconds' worth. Precondition: it is positive.
+    /// Allows @p callsPerSecond on average and bursts of up to two seconds' worth. Precondition: it
+    /// is positive.
     explicit call_budget(double callsPerSecond);
 
-    /// Takes one call at @p now. Returns false, counting a refusal, when the budget is spent.
+    /// Takes one call from the budget at @p now. Returns false and counts a refusal when the budget
+    /// is exhausted.
     bool take(timestamp now);
-    /// Returns how many calls were allowed.
+    /// Returns the number of calls allowed so far.
     std::uint64_t allowed() const;
-    /// Returns how many calls were refused.
+    /// Returns the number of calls refused so far.
     std::uint64_t refused() const;
 
 private:
     mutable std::mutex m_mutex;
     double m_rate;
-    double m_level;
-    timestamp m_filledAt {};
+    double m_available;
+    timestamp m_refilledAt {};
     std::uint64_t m_allowed = 0;
     std::uint64_t m_refused = 0;
 };
--- a/libs/platform/include/platform/codec.h
+++ b/libs/platform/include/platform/codec.h
@@ -5,10 +5,10 @@
 
 namespace trefoil {
 
-/// Returns @p item as the platform's JSON. Thread-safe.
+/// Returns @p item in the platform's JSON format. Thread-safe.
 Json::Value toJson(const object &item);
 
-/// Reads an object from the platform's JSON. Error: "bad-object". Thread-safe.
+/// Reads an object from the platform's JSON format. Error: "bad-object". Thread-safe.
 result<object> objectFromJson(const Json::Value &value);
 
 } // namespace trefoil
--- a/libs/platform/include/platform/object_mirror.h
+++ b/libs/platform/include/platform/object_mirror.h
@@ -12,44 +12,47 @@
 
 namespace trefoil {
 
-/// Copy of all objects under one prefix. It takes snapshots and changes in any order and from
-/// several sources, the store itself or another instance's copy, and never goes back.
+/// Local copy of all objects under one prefix. Snapshots and changes may arrive in any order and
+/// from several sources (the store itself or another instance's copy); older ones never overwrite
+/// newer state.
 ///
-/// Answers an outage of the store during which entries lapse although their writers live: an object
-/// that is missing right after an outage is kept until its writer has had time to write it again.
-/// That time counts from the store's return: a removal later on is one. Not thread-safe.
+/// During an outage of the store, objects with a time to live expire although their writers are
+/// alive. An object that is missing after an outage is therefore kept for a grace period, so that
+/// its writer can write it again. The grace period starts when the store returns; a removal after
+/// it takes effect at once. Not thread-safe.
 class object_mirror
 {
 public:
-    /// Takes all objects as of version @p upTo. Objects that are missing are kept until @p
-    /// lapseEnd. Returns whether anything changed.
-    bool takeSnapshot(timestamp now, std::span<const object> objects, std::uint64_t upTo,
-                      timestamp lapseEnd = {});
-    /// Takes changes up to version @p upTo. Objects that are removed are kept until @p lapseEnd.
-    /// Returns whether anything changed.
-    bool takeChanges(timestamp now, std::span<const object> changed, std::uint64_t upTo,
-                     timestamp lapseEnd = {});
-    /// Drops objects whose time to come back is over. Returns whether there were any.
+    /// Replaces the copy with @p objects, which are all objects as of store version @p upToVersion.
+    /// Ignored if the copy is newer. If @p now is before @p graceEnd, objects missing from @p
+    /// objects are kept until then. Returns whether anything changed.
+    bool applySnapshot(timestamp now, std::span<const object> objects, std::uint64_t upToVersion,
+                       timestamp graceEnd = {});
+    /// Applies changes up to store version @p upToVersion. If @p now is before @p graceEnd, removed
+    /// objects are kept until then. Returns whether anything changed.
+    bool applyChanges(timestamp now, std::span<const object> changed, std::uint64_t upToVersion,
+                      timestamp graceEnd = {});
+    /// Drops missing objects whose grace period is over. Returns whether there were any.
     bool dropLapsed(timestamp now);
 
     /// Returns the objects by name.
     const std::map<std::string, object, std::less<>> &objects() const { return m_objects; }
-    /// Returns the store's version that the copy stands at; 0 before the first snapshot.
-    std::uint64_t upTo() const { return m_upTo; }
-    /// Returns the version of the newest change seen: instances compare it.
+    /// Returns the store version that the copy reflects; 0 before the first snapshot.
+    std::uint64_t upToVersion() const { return m_upToVersion; }
+    /// Returns the version of the newest change seen. Instances compare it to detect a stale copy.
     std::uint64_t newestChange() const { return m_newestChange; }
-    /// Notes that a copy as new as this one knows of a change at @p version, a removal that left
-    /// nothing behind.
-    void noteNewestChange(std::uint64_t version)
+    /// Raises newestChange() to at least @p version, as reported by the instance that a snapshot
+    /// came from. The newest change may be a removal, which the objects of a snapshot don't show.
+    void recordNewestChange(std::uint64_t version)
     {
         m_newestChange = std::max(m_newestChange, version);
     }
 
 private:
     std::map<std::string, object, std::less<>> m_objects;
-    /// Objects that a snapshot lacked, with the time until which they are kept.
+    /// Missing or removed objects in their grace period, with its end.
     std::map<std::string, timestamp, std::less<>> m_missing;
-    std::uint64_t m_upTo = 0;
+    std::uint64_t m_upToVersion = 0;
     std::uint64_t m_newestChange = 0;
 };
 
--- a/libs/platform/include/platform/object_store.h
+++ b/libs/platform/include/platform/object_store.h
@@ -13,51 +13,52 @@
 struct object
 {
     std::string name;
-    /// Changes with each write, rises through the whole store, never repeats.
+    /// Set by each write to a number greater than all earlier ones in the store.
     std::uint64_t version = 0;
     std::string value;
-    /// What was reported about the object, where the store keeps that apart; else "".
+    /// Reported status of the object if the store keeps it separate from the value; else "".
     std::string status;
-    /// Whether a watch tells that the object is gone.
+    /// Whether this is a watch's notice that the object was removed.
     bool isRemoved = false;
 
     bool operator==(const object &) const = default;
 };
 
-/// Answer of a watch: the objects that changed and the store's version to watch from next.
+/// Result of a watch: the changed objects and the store version from which to watch next.
 struct object_changes
 {
     std::vector<object> changed;
-    std::uint64_t upTo = 0;
+    std::uint64_t upToVersion = 0;
 };
 
-/// Entry of the platform's lagging list of instances.
+/// Entry of the platform's eventually consistent list of instances.
 struct listed_instance
 {
     std::string name;
     bool leaving = false;
 };
 
-/// Error codes of the platform. Every call may fail with the last three.
+/// Error codes of the platform. Every call may fail with refused, unavailable or unknown-outcome.
 namespace platform_errors {
 inline constexpr const char *notFound = "not-found";
-/// The object exists already, or its version is not the expected one.
+/// The object's version is not the expected one, or it exists although it was expected not to.
 inline constexpr const char *conflict = "conflict";
 /// The call was refused before it took effect.
 inline constexpr const char *refused = "refused";
-/// No answer came in time, and the call can't have taken effect (reads, or never sent).
+/// No answer came in time, and the call can't have taken effect: a read, or a write never sent.
 inline constexpr const char *unavailable = "unavailable";
 /// No answer came in time; a write may or may not have taken effect.
 inline constexpr const char *unknownOutcome = "unknown-outcome";
-/// The changes past the version asked for are no longer kept: take a snapshot.
+/// The store no longer keeps the changes since the requested version; read a snapshot instead.
 inline constexpr const char *historyGone = "history-gone";
 } // namespace platform_errors
 
-/// Whether a read must see the newest state. One that may be seconds old costs the platform less.
-enum class read_freshness { Newest, MayBeOld };
+/// Whether a read must return the newest state. A read that may return state a few seconds old is
+/// cheaper for the platform.
+enum class read_freshness { Newest, MayBeStale };
 
-/// The platform's object API. Implementations are thread-safe and block the calling thread, so the
-/// control thread never calls one itself. An object may hold up to a megabyte.
+/// The platform's object API. Implementations are thread-safe. Calls block, so they must not be
+/// made on the control thread. An object may hold up to a megabyte.
 class object_store
 {
 public:
@@ -65,26 +66,26 @@
 
     /// Reads one object. Errors: not-found.
     virtual result<object> get(const std::string &name) = 0;
-    /// Reads all objects whose names start with @p prefix, in the order of their names.
+    /// Reads all objects whose names start with @p prefix, sorted by name.
     virtual result<std::vector<object>> list(const std::string &prefix) = 0;
-    /// Writes @p value if the object's version is @p expected, 0 meaning that it must not exist.
+    /// Writes @p value if the object's version is @p expected; 0 means that it must not exist.
     /// Returns the new version. Errors: conflict, unknown-outcome.
     virtual result<std::uint64_t> put(const std::string &name, const std::string &value,
                                       std::uint64_t expected) = 0;
-    /// Reads all objects under @p prefix, and the store's version from which to watch.
+    /// Reads all objects under @p prefix and the store version from which to watch.
     virtual result<object_changes> snapshot(const std::string &prefix);
-    /// Waits as watch() does; an implementation may ignore @p freshness.
+    /// As watch() without @p freshness, which an implementation may ignore.
     virtual result<object_changes> watch(const std::string &prefix, std::uint64_t from,
-                                         duration patience, read_freshness freshness)
+                                         duration timeout, read_freshness freshness)
     {
         static_cast<void>(freshness);
-        return watch(prefix, from, patience);
+        return watch(prefix, from, timeout);
     }
-    /// Waits up to @p patience for changes under @p prefix past version @p from. Errors:
+    /// Waits up to @p timeout for changes under @p prefix after version @p from. Errors:
     /// history-gone.
     virtual result<object_changes> watch(const std::string &prefix, std::uint64_t from,
-                                         duration patience) = 0;
-    /// Reads the lagging list of live and leaving instances.
+                                         duration timeout) = 0;
+    /// Reads the eventually consistent list of live and leaving instances.
     virtual result<std::vector<listed_instance>> instances() = 0;
 };
 
--- a/libs/platform/include/platform/object_table.h
+++ b/libs/platform/include/platform/object_table.h
@@ -11,7 +11,7 @@
 
 namespace trefoil {
 
-/// Objects in memory with the platform's rules for versions and conditional updates. Not
+/// In-memory table of objects with the platform's rules for versions and conditional updates. Not
 /// thread-safe.
 class object_table
 {
@@ -23,7 +23,7 @@
     /// See object_store::put(). Error: conflict.
     result<std::uint64_t> put(const std::string &name, const std::string &value,
                               std::uint64_t expected);
-    /// Returns the objects under @p prefix changed after version @p from.
+    /// Returns the objects under @p prefix that changed after version @p from.
     object_changes changesSince(std::string_view prefix, std::uint64_t from) const;
 
 private:
--- a/libs/platform/include/platform/outage_clock.h
+++ b/libs/platform/include/platform/outage_clock.h
@@ -6,32 +6,33 @@
 
 namespace trefoil {
 
-/// Tells when the store's last outage ended, from when any instance heard it. What only one
-/// instance could not reach is no outage: entries don't lapse by it. Not thread-safe.
+/// Detects when the store's last outage ended, from the times at which any instance reached it. A
+/// store that only this instance can't reach is not an outage: other writers still reach it, so
+/// their objects don't expire. Not thread-safe.
 class outage_clock
 {
 public:
-    /// A silence for longer is an outage. The holder of a duty hears the store three times a
-    /// second, the waiting reads of a fleet about as often.
-    static constexpr duration longestSilence = std::chrono::milliseconds(1800);
+    /// A longer gap between contacts is an outage. The holder of a duty reaches the store three
+    /// times a second, and the long-polling reads of all instances together about as often.
+    static constexpr duration maxContactGap = std::chrono::milliseconds(1800);
 
-    /// Notes that this instance or another one heard the store at @p at.
-    void noteHeard(timestamp at)
+    /// Records that this or another instance reached the store at @p at.
+    void recordContact(timestamp at)
     {
-        if (m_isKnown && at - m_heardAt > longestSilence)
+        if (m_hasContact && at - m_lastContact > maxContactGap)
             m_outageEnd = at;
-        m_heardAt = m_isKnown ? std::max(m_heardAt, at) : at;
-        m_isKnown = true;
+        m_lastContact = m_hasContact ? std::max(m_lastContact, at) : at;
+        m_hasContact = true;
     }
 
-    /// Returns when the store was last heard by any instance.
-    timestamp heardAt() const { return m_heardAt; }
-    /// Returns when the last outage ended; the clock's start where there was none.
+    /// Returns when any instance last reached the store.
+    timestamp lastContact() const { return m_lastContact; }
+    /// Returns when the last outage ended; the epoch of timestamp if there was none.
     timestamp outageEnd() const { return m_outageEnd; }
 
 private:
-    bool m_isKnown = false;
-    timestamp m_heardAt;
+    bool m_hasContact = false;
+    timestamp m_lastContact;
     timestamp m_outageEnd;
 };
 
--- a/libs/platform/src/call_budget.cpp
+++ b/libs/platform/src/call_budget.cpp
@@ -12,7 +12,7 @@
 } // namespace
 
 call_budget::call_budget(double callsPerSecond)
-    : m_rate(callsPerSecond), m_level(callsPerSecond * burstSeconds)
+    : m_rate(callsPerSecond), m_available(callsPerSecond * burstSeconds)
 {
     assert(callsPerSecond > 0);
 }
@@ -20,14 +20,14 @@
 bool call_budget::take(timestamp now)
 {
     const std::lock_guard<std::mutex> lock(m_mutex);
-    const double refill = toSeconds(now - m_filledAt) * m_rate;
-    m_level = std::min(m_rate * burstSeconds, m_level + std::max(refill, 0.0));
-    m_filledAt = now;
-    if (m_level < 1) {
+    const double refill = toSeconds(now - m_refilledAt) * m_rate;
+    m_available = std::min(m_rate * burstSeconds, m_available + std::max(refill, 0.0));
+    m_refilledAt = now;
+    if (m_available < 1) {
         ++m_refused;
         return false;
     }
-    m_level -= 1;
+    m_available -= 1;
     ++m_allowed;
     return true;
 }
--- a/libs/platform/src/object_mirror.cpp
+++ b/libs/platform/src/object_mirror.cpp
@@ -6,28 +6,28 @@
 
 namespace trefoil {
 
-bool object_mirror::takeSnapshot(timestamp now, std::span<const object> objects, std::uint64_t upTo,
-                                 timestamp lapseEnd)
+bool object_mirror::applySnapshot(timestamp now, std::span<const object> objects,
+                                  std::uint64_t upToVersion, timestamp graceEnd)
 {
-    if (upTo < m_upTo)
+    if (upToVersion < m_upToVersion)
         return false;
-    bool hasChanged = m_upTo == 0;
-    m_upTo = upTo;
+    bool hasChanged = m_upToVersion == 0;
+    m_upToVersion = upToVersion;
     std::set<std::string_view> listed;
     for (const object &each : objects) {
         listed.insert(each.name);
         m_newestChange = std::max(m_newestChange, each.version);
-        object &known = m_objects[each.name];
-        hasChanged = hasChanged || known != each;
-        known = each;
+        object &current = m_objects[each.name];
+        hasChanged = hasChanged || current != each;
+        current = each;
         m_missing.erase(each.name);
     }
-    const bool mayReturn = now < lapseEnd;
+    const bool isInGracePeriod = now < graceEnd;
     for (auto it = m_objects.begin(); it != m_objects.end();) {
         if (listed.contains(it->first)) {
             ++it;
-        } else if (mayReturn || m_missing.contains(it->first)) {
-            m_missing.try_emplace(it->first, lapseEnd);
+        } else if (isInGracePeriod || m_missing.contains(it->first)) {
+            m_missing.try_emplace(it->first, graceEnd);
             ++it;
         } else {
             hasChanged = true;
@@ -37,23 +37,23 @@
     return hasChanged;
 }
 
-bool object_mirror::takeChanges(timestamp now, std::span<const object> changed, std::uint64_t upTo,
-                                timestamp lapseEnd)
+bool object_mirror::applyChanges(timestamp now, std::span<const object> changed,
+                                 std::uint64_t upToVersion, timestamp graceEnd)
 {
-    const bool mayReturn = now < lapseEnd;
+    const bool isInGracePeriod = now < graceEnd;
     bool hasChanged = false;
     for (const object &each : changed) {
         m_newestChange = std::max(m_newestChange, each.version);
-        const auto known = m_objects.find(each.name);
-        const bool isNewer = known == m_objects.end() || each.version > known->second.version;
+        const auto current = m_objects.find(each.name);
+        const bool isNewer = current == m_objects.end() || each.version > current->second.version;
         if (each.isRemoved) {
-            // Another watch may have told of a later creation already.
-            if (known == m_objects.end() || each.version < known->second.version)
+            // Another watch may already have reported that the object was created again.
+            if (current == m_objects.end() || each.version < current->second.version)
                 continue;
-            if (mayReturn) {
-                m_missing.try_emplace(each.name, lapseEnd);
+            if (isInGracePeriod) {
+                m_missing.try_emplace(each.name, graceEnd);
             } else {
-                m_objects.erase(known);
+                m_objects.erase(current);
                 m_missing.erase(each.name);
                 hasChanged = true;
             }
@@ -63,7 +63,7 @@
             hasChanged = true;
         }
     }
-    m_upTo = std::max(m_upTo, upTo);
+    m_upToVersion = std::max(m_upToVersion, upToVersion);
     return hasChanged;
 }
 
--- a/libs/platform/src/object_store.cpp
+++ b/libs/platform/src/object_store.cpp
@@ -9,10 +9,10 @@
     result<std::vector<object>> objects = list(prefix);
     if (!objects)
         return tl::unexpected(objects.error());
-    object_changes all {.changed = std::move(*objects)};
-    for (const object &each : all.changed)
-        all.upTo = std::max(all.upTo, each.version);
-    return all;
+    object_changes changes {.changed = std::move(*objects)};
+    for (const object &each : changes.changed)
+        changes.upToVersion = std::max(changes.upToVersion, each.version);
+    return changes;
 }
 
 } // namespace trefoil
--- a/libs/platform/src/object_table.cpp
+++ b/libs/platform/src/object_table.cpp
@@ -37,7 +37,7 @@
 
 object_changes object_table::changesSince(std::string_view prefix, std::uint64_t from) const
 {
-    object_changes changes {.changed = {}, .upTo = m_version};
+    object_changes changes {.changed = {}, .upToVersion = m_version};
     for (const object &each : list(prefix)) {
         if (each.version > from)
             changes.changed.push_back(each);
--- a/libs/platform/tests/object_table_test.cpp
+++ b/libs/platform/tests/object_table_test.cpp
@@ -5,7 +5,7 @@
 
 namespace trefoil {
 
-TEST(ObjectTable, ConditionalUpdateRefusesAnOldVersion)
+TEST(ObjectTable, ConditionalUpdateRejectsAnOldVersion)
 {
     object_table table;
     const result<std::uint64_t> first = table.put("a", "1", 0);
@@ -18,7 +18,7 @@
     EXPECT_EQ(table.get("a")->value, "2");
 }
 
-TEST(ObjectTable, ChangesAreThoseOfThePrefixPastTheVersion)
+TEST(ObjectTable, ChangesSinceReturnsLaterChangesUnderThePrefix)
 {
     object_table table;
     const std::uint64_t first = *table.put("x/1", "1", 0);
@@ -29,7 +29,7 @@
     EXPECT_EQ(changes.changed[0].name, "x/2");
 }
 
-TEST(CallBudget, RefusesPastTheRate)
+TEST(CallBudget, RefusesCallsAboveTheRate)
 {
     call_budget budget(10);
     const timestamp start {std::chrono::seconds(100)};
--- a/standins/src/standin_platform.cpp
+++ b/standins/src/standin_platform.cpp
@@ -149,7 +149,7 @@
             return;
         }
         Json::Value answer(Json::objectValue);
-        answer["up_to"] = Json::UInt64(changes.upTo);
+        answer["up_to"] = Json::UInt64(changes.upToVersion);
         answer["changed"] = Json::Value(Json::arrayValue);
         for (const object &item : changes.changed)
             answer["changed"].append(toJson(item));
--- a/trefoilrouter/src/edge/caller_session.cpp
+++ b/trefoilrouter/src/edge/caller_session.cpp
@@ -91,7 +91,7 @@
         m_state.noteRequest();
         m_state.openRequests() += 1;
         const bool closes =
-            m_state.isLeaving() || !keepsConnection(request->head.headers, request->head.isHttp10);
+            m_state.isLeaving() || !isKeepAlive(request->head.headers, request->head.isHttp10);
         const bool goesOn =
             request_runner(m_state, m_connections, m_caller, *request, closes).run();
         m_state.openRequests() -= 1;
--- a/trefoilrouter/src/edge/edge_state.h
+++ b/trefoilrouter/src/edge/edge_state.h
@@ -100,7 +100,7 @@
     {
         with([now](edge_beliefs &beliefs) {
             beliefs.ownStoreHeardAt = now;
-            beliefs.storeOutage.noteHeard(now);
+            beliefs.storeOutage.recordContact(now);
         });
     }
     /// Returns whether the store answered lately.
--- a/trefoilrouter/src/edge/peer_exchange.cpp
+++ b/trefoilrouter/src/edge/peer_exchange.cpp
@@ -197,7 +197,7 @@
 void peer_exchange::learnServers(timestamp now, const peer_report &report, edge_beliefs &beliefs)
 {
     if (report.storeHeardAgoMs)
-        beliefs.storeOutage.noteHeard(now - std::chrono::milliseconds(*report.storeHeardAgoMs));
+        beliefs.storeOutage.recordContact(now - std::chrono::milliseconds(*report.storeHeardAgoMs));
     for (auto it = report.storeEpochs.begin(); it != report.storeEpochs.end(); ++it)
         beliefs.board.noteStoreState(it->first, it->second);
     beliefs.board.takePeerLoad(now, report.from, report.load);
--- a/trefoilrouter/src/edge/request_runner.cpp
+++ b/trefoilrouter/src/edge/request_runner.cpp
@@ -323,10 +323,11 @@
     if (!taken)
         return attempt_end::NotRun;
     current.stream = std::move(taken->stream);
-    if (m_caller.hasLeft())
+    if (m_caller.isClosedByRemote())
         return attempt_end::CallerLeft;
-    const std::string_view lastEvent =
-        m_events.lastId().empty() ? std::string_view(m_fields.lastEventId) : m_events.lastId();
+    const std::string_view lastEvent = m_events.lastEventId().empty()
+        ? std::string_view(m_fields.lastEventId)
+        : m_events.lastEventId();
     constexpr int priorityStep = 3;
     constexpr int lastPriority = 9;
     const int teamPriority = m_team == nullptr ? 0 : m_team->priority;
@@ -390,7 +391,7 @@
 
 request_runner::attempt_end request_runner::endFor(read_outcome outcome)
 {
-    if (outcome == read_outcome::WatchedLeft)
+    if (outcome == read_outcome::WatchedClosed)
         return attempt_end::CallerLeft;
     return outcome == read_outcome::TimedOut ? attempt_end::TimedOut : attempt_end::Broken;
 }
@@ -489,7 +490,7 @@
 void request_runner::keepConnection(attempt &current)
 {
     const bool mayKeep = !current.hasEnded && current.framing.end != body_end::Close
-        && keepsConnection(current.head.headers, current.head.isHttp10)
+        && isKeepAlive(current.head.headers, current.head.isHttp10)
         && current.stream->buffer().empty();
     if (!mayKeep)
         return;
@@ -576,7 +577,7 @@
         isComplete = isComplete || current.hasEnded;
         std::string events = m_events.feed(decoded);
         if (isComplete)
-            events += m_events.takeRest();
+            events += m_events.takeIncomplete();
         if (!events.empty() && !current.hasEvents) {
             current.hasEvents = true;
             m_state.with([&](edge_beliefs &beliefs) {
@@ -597,7 +598,7 @@
         if (endsInOrder) {
             current.hasEnded = true;
         } else if (outcome != read_outcome::Bytes) {
-            m_events.drop();
+            m_events.discardIncomplete();
             return endFor(outcome);
         }
     }
--- a/trefoilrouter/src/edge/server_connections.cpp
+++ b/trefoilrouter/src/edge/server_connections.cpp
@@ -30,7 +30,7 @@
         }
         if (!found)
             break;
-        if (now < found->until && now - found->since <= longestIdle && found->stream.isQuiet())
+        if (now < found->until && now - found->since <= longestIdle && found->stream.isIdle())
             return taken_connection {.stream = std::move(found->stream), .isReused = true};
     }
     result<byte_stream> fresh = byte_stream::connect(place, connectTimeout);
--- a/trefoilrouter/src/edge/store_watch.cpp
+++ b/trefoilrouter/src/edge/store_watch.cpp
@@ -94,14 +94,14 @@
     {
         const std::lock_guard<std::mutex> lock(m_mutex);
         const watched_kind &known = m_kinds.find(kind)->second;
-        from = known.mirror.upTo();
+        from = known.mirror.upToVersion();
         patience = known.patience;
         freshWatchers = known.freshWatchers;
     }
     // In a large fleet few instances need the newest state from the store itself: reports tell the
     // others when they are behind.
     const bool isFresh = fleet.rank < freshWatchers;
-    const read_freshness freshness = isFresh ? read_freshness::Newest : read_freshness::MayBeOld;
+    const read_freshness freshness = isFresh ? read_freshness::Newest : read_freshness::MayBeStale;
     patience = isFresh ? patience : patience * oldPatienceFactor;
     const result<object_changes> got =
         needsSnapshot ? m_store.snapshot(kind) : m_store.watch(kind, from, patience, freshness);
@@ -126,8 +126,9 @@
         known.failures = 0;
         object_mirror &mirror = known.mirror;
         const timestamp lapseEnd = outageEnd + known.returnTime;
-        hasChanged = needsSnapshot ? mirror.takeSnapshot(now, got->changed, got->upTo, lapseEnd)
-                                   : mirror.takeChanges(now, got->changed, got->upTo, lapseEnd);
+        hasChanged = needsSnapshot
+            ? mirror.applySnapshot(now, got->changed, got->upToVersion, lapseEnd)
+            : mirror.applyChanges(now, got->changed, got->upToVersion, lapseEnd);
         hasChanged = mirror.dropLapsed(now) || hasChanged;
     }
     const bool hadEvents = !needsSnapshot && !got->changed.empty();
@@ -249,7 +250,7 @@
 {
     const std::lock_guard<std::mutex> lock(m_mutex);
     const watched_kind &known = m_kinds.find(store_kinds::instances)->second;
-    return known.isReachable && known.mirror.upTo() > 0
+    return known.isReachable && known.mirror.upToVersion() > 0
         && !known.mirror.objects().contains(store_kinds::instances + name);
 }
 
@@ -260,7 +261,7 @@
     const auto known = m_kinds.find(kind);
     if (known == m_kinds.end())
         return writeJson(copy);
-    copy["up_to"] = Json::UInt64(known->second.mirror.upTo());
+    copy["up_to"] = Json::UInt64(known->second.mirror.upToVersion());
     copy["newest_change"] = Json::UInt64(known->second.mirror.newestChange());
     Json::Value list(Json::arrayValue);
     const std::map<std::string, object, std::less<>> &objects = known->second.mirror.objects();
@@ -295,8 +296,8 @@
     {
         const std::lock_guard<std::mutex> lock(m_mutex);
         object_mirror &mirror = m_kinds.find(kind)->second.mirror;
-        hasChanged = mirror.takeSnapshot(boot_clock::now(), objects, integerOr(*copy, "up_to"));
-        mirror.noteNewestChange(integerOr(*copy, "newest_change"));
+        hasChanged = mirror.applySnapshot(boot_clock::now(), objects, integerOr(*copy, "up_to"));
+        mirror.recordNewestChange(integerOr(*copy, "newest_change"));
     }
     writeEvent(event_line("store", "copy_fetched").add("kind", kind).add("changed", hasChanged));
     if (hasChanged)
--- a/trefoilrouter/src/http_platform.cpp
+++ b/trefoilrouter/src/http_platform.cpp
@@ -92,7 +92,7 @@
     if (!answer)
         return tl::unexpected(answer.error());
     return object_changes {.changed = objectsOf((*answer)["changed"]),
-                           .upTo = integerOr(*answer, "up_to", from)};
+                           .upToVersion = integerOr(*answer, "up_to", from)};
 }
 
 result<std::vector<listed_instance>> http_platform::instances()
