--- a/libs/configuration/include/configuration/settings.h
+++ b/libs/configuration/include/configuration/settings.h
@@ -25,9 +25,9 @@
 bool parseEndpoint(std::string_view text, endpoint &parsed);
 
 /// Returns "address:port". Thread-safe.
-std::string toString(const endpoint &place);
+std::string toString(const endpoint &address);
 
-/// Settings of one instance. They hold only what the instance can't learn from the platform.
+/// Settings of one instance: only what the instance can't learn from the platform.
 struct settings
 {
     std::string name;
@@ -37,29 +37,29 @@
     endpoint peers;
     endpoint operators;
     endpoint platform;
-    /// Calls to the platform that this instance allows itself, in calls a second.
+    /// Limit on this instance's calls to the platform, in calls per second.
     int platformCallsPerSecond = 20;
-    /// Peers asked first for the configuration and the members.
+    /// Peers from which the instance first obtains the configuration and the members.
     std::vector<endpoint> seeds;
-    /// Shared by all instances; peers' requests without it are refused.
+    /// Secret shared by all instances; requests from peers without it are refused.
     std::string peerSecret;
     std::string logLevel = "info";
     bool logAsJson = false;
-    /// File that spans are appended to as OTLP/JSON lines; empty for none.
+    /// File to which spans are appended as OTLP/JSON lines; empty for none.
     std::string traceFile;
     /// Base address of an OTLP/HTTP collector; empty for none.
     std::string traceEndpoint;
-    /// Threads that serve callers: one for each open connection.
+    /// Threads that serve callers. Each open connection occupies one.
     int callerThreads = 256;
     std::int64_t maxBodyBytes = 8 << 20;
-    /// Time a caller has to send its request or to take a piece of the answer.
+    /// Time that a caller has to send its request or to receive a piece of the answer.
     duration callerTimeout = std::chrono::seconds(20);
-    /// Time that open streams get to finish after SIGTERM.
+    /// Time that open streams have to finish after SIGTERM.
     duration drainTimeout = std::chrono::seconds(60);
 };
 
-/// Reads settings from YAML. @p file names the document in findings. Returns every finding where
-/// there is any. Thread-safe.
+/// Reads settings from YAML. @p file names the document in findings. On failure, returns every
+/// finding. Thread-safe.
 tl::expected<settings, findings> readSettings(std::string_view text, std::string_view file);
 
 } // namespace trefoil
--- a/libs/configuration/src/settings.cpp
+++ b/libs/configuration/src/settings.cpp
@@ -10,8 +10,8 @@
 
 constexpr std::int64_t maxPlatformCalls = 1000;
 constexpr std::int64_t maxCallerThreads = 4096;
-constexpr std::int64_t leastBodyBytes = 1 << 10;
-constexpr std::int64_t mostBodyBytes = 64 << 20;
+constexpr std::int64_t minBodyLimitBytes = 1 << 10;
+constexpr std::int64_t maxBodyLimitBytes = 64 << 20;
 constexpr std::int64_t maxTimeoutSeconds = 3600;
 
 bool isNumericHost(std::string_view host)
@@ -35,71 +35,72 @@
 
 endpoint readEndpoint(yaml_map &map, const char *name)
 {
-    endpoint place;
+    endpoint address;
     const std::string text = map.text(name);
-    if (!text.empty() && !parseEndpoint(text, place))
-        map.fault(name,
-                  "field \"" + map.pathOf(name) + "\" must be a numeric address and port, not \""
-                      + text + "\"");
-    return place;
+    if (!text.empty() && !parseEndpoint(text, address))
+        map.addFinding(name,
+                       "field \"" + map.pathOf(name)
+                           + "\" must be a numeric address and port, not \"" + text + "\"");
+    return address;
 }
 
-void readListeners(const YAML::Node &node, settings &into, finding_sink &sink)
+void readListeners(const YAML::Node &node, settings &parsed, finding_sink &sink)
 {
     yaml_map map(node, "listeners", {"callers", "peers", "operators"}, sink);
-    into.callers = readEndpoint(map, "callers");
-    into.peers = readEndpoint(map, "peers");
-    into.operators = readEndpoint(map, "operators");
+    parsed.callers = readEndpoint(map, "callers");
+    parsed.peers = readEndpoint(map, "peers");
+    parsed.operators = readEndpoint(map, "operators");
 }
 
-void readLog(const YAML::Node &node, settings &into, finding_sink &sink)
+void readLog(const YAML::Node &node, settings &parsed, finding_sink &sink)
 {
     yaml_map map(node, "log", {"level", "format"}, sink);
-    into.logLevel = map.choice("level", {"debug", "info", "warning", "error"}, "info");
-    into.logAsJson = map.choice("format", {"text", "json"}, "text") == "json";
+    parsed.logLevel = map.choice("level", {"debug", "info", "warning", "error"}, "info");
+    parsed.logAsJson = map.choice("format", {"text", "json"}, "text") == "json";
 }
 
-void readTrace(const YAML::Node &node, settings &into, finding_sink &sink)
+void readTrace(const YAML::Node &node, settings &parsed, finding_sink &sink)
 {
     yaml_map map(node, "trace", {"file", "endpoint"}, sink);
-    into.traceFile = map.textOr("file", "");
-    into.traceEndpoint = map.textOr("endpoint", "");
+    parsed.traceFile = map.textOr("file", "");
+    parsed.traceEndpoint = map.textOr("endpoint", "");
 }
 
-void readTraffic(const YAML::Node &node, settings &into, finding_sink &sink)
+void readTraffic(const YAML::Node &node, settings &parsed, finding_sink &sink)
 {
     yaml_map map(node, "traffic",
                  {"threads", "max_body_bytes", "caller_timeout_seconds", "drain_timeout_seconds"},
                  sink);
-    into.callerThreads =
-        static_cast<int>(map.integerOr("threads", {4, maxCallerThreads}, into.callerThreads));
-    into.maxBodyBytes =
-        map.integerOr("max_body_bytes", {leastBodyBytes, mostBodyBytes}, into.maxBodyBytes);
-    into.callerTimeout =
+    parsed.callerThreads =
+        static_cast<int>(map.integerOr("threads", {4, maxCallerThreads}, parsed.callerThreads));
+    parsed.maxBodyBytes = map.integerOr("max_body_bytes", {minBodyLimitBytes, maxBodyLimitBytes},
+                                        parsed.maxBodyBytes);
+    parsed.callerTimeout =
         std::chrono::seconds(map.integerOr("caller_timeout_seconds", {1, maxTimeoutSeconds},
-                                           into.callerTimeout / std::chrono::seconds(1)));
-    into.drainTimeout =
+                                           parsed.callerTimeout / std::chrono::seconds(1)));
+    parsed.drainTimeout =
         std::chrono::seconds(map.integerOr("drain_timeout_seconds", {0, maxTimeoutSeconds},
-                                           into.drainTimeout / std::chrono::seconds(1)));
+                                           parsed.drainTimeout / std::chrono::seconds(1)));
 }
 
-void readSeeds(yaml_map &map, settings &into)
+void readSeeds(yaml_map &map, settings &parsed)
 {
-    for (const std::string &text : map.texts("seeds")) {
-        endpoint place;
-        if (parseEndpoint(text, place))
-            into.seeds.push_back(place);
+    for (const std::string &text : map.textList("seeds")) {
+        endpoint address;
+        if (parseEndpoint(text, address))
+            parsed.seeds.push_back(address);
         else
-            map.fault("seeds", "\"" + text + "\" in \"seeds\" is not a numeric address and port");
+            map.addFinding("seeds",
+                           "\"" + text + "\" in \"seeds\" is not a numeric address and port");
     }
 }
 
-void readPlatform(const YAML::Node &node, settings &into, finding_sink &sink)
+void readPlatform(const YAML::Node &node, settings &parsed, finding_sink &sink)
 {
     yaml_map map(node, "platform", {"address", "calls_per_second"}, sink);
-    into.platform = readEndpoint(map, "address");
-    into.platformCallsPerSecond = static_cast<int>(
-        map.integerOr("calls_per_second", {1, maxPlatformCalls}, into.platformCallsPerSecond));
+    parsed.platform = readEndpoint(map, "address");
+    parsed.platformCallsPerSecond = static_cast<int>(
+        map.integerOr("calls_per_second", {1, maxPlatformCalls}, parsed.platformCallsPerSecond));
 }
 
 } // namespace
@@ -119,9 +120,9 @@
     return true;
 }
 
-std::string toString(const endpoint &place)
+std::string toString(const endpoint &address)
 {
-    return place.host + ":" + std::to_string(place.port);
+    return address.host + ":" + std::to_string(address.port);
 }
 
 tl::expected<settings, findings> readSettings(std::string_view text, std::string_view file)
@@ -144,7 +145,7 @@
         if (map.has(name))
             read(map.child(name), parsed, sink);
         else if (required)
-            map.fault(name, std::string("field \"") + name + "\" is missing");
+            map.addFinding(name, std::string("field \"") + name + "\" is missing");
     };
     section("listeners", true, readListeners);
     section("platform", true, readPlatform);
--- a/libs/configuration/src/tables.cpp
+++ b/libs/configuration/src/tables.cpp
@@ -9,34 +9,35 @@
 
 namespace {
 
-// Bounds on what a vote can sensibly set; they catch a misplaced unit.
+// Limits on what operators can sensibly configure; they catch values in a wrong unit.
 constexpr std::int64_t maxTokenRate = 100'000'000;
 constexpr std::int64_t maxTokenBurst = 10'000'000'000;
 constexpr std::int64_t maxAnswerTokens = 1'000'000;
 constexpr std::int64_t maxResponseSeconds = 3600;
 constexpr std::int64_t maxUnixSeconds = 253'402'300'799; // end of the year 9999
 
-bool isName(std::string_view text)
+bool isValidName(std::string_view text)
 {
-    const auto allowed = [](char c) {
+    const auto isAllowed = [](char c) {
         return (c >= 'a' && c <= 'z') || (c >= 'A' && c <= 'Z') || (c >= '0' && c <= '9')
             || c == '-' || c == '_' || c == '.' || c == '/';
     };
-    return !text.empty() && std::all_of(text.begin(), text.end(), allowed);
+    return !text.empty() && std::all_of(text.begin(), text.end(), isAllowed);
 }
 
-/// Reads a name and checks that it is well-formed and not in @p taken yet.
+/// Reads a name, and checks that it is well-formed and not in @p taken. @p what names the kind of
+/// object in findings.
 std::string readName(yaml_map &map, std::set<std::string> &taken, const char *what)
 {
     const std::string name = map.text("name");
     if (name.empty())
         return name;
-    if (!isName(name))
-        map.fault("name",
-                  std::string(what) + " name \"" + name
-                      + "\" may hold only letters, digits and - _ . /");
+    if (!isValidName(name))
+        map.addFinding("name",
+                       std::string(what) + " name \"" + name
+                           + "\" may hold only letters, digits and - _ . /");
     if (!taken.insert(name).second)
-        map.fault("name", std::string(what) + " \"" + name + "\" stands twice");
+        map.addFinding("name", std::string(what) + " \"" + name + "\" stands twice");
     return name;
 }
 
@@ -54,31 +55,33 @@
 void checkTarget(yaml_map &map, const route &parsed, std::set<std::string> &targets)
 {
     if (parsed.model.empty() == parsed.path.empty()) {
-        map.fault("name", "route \"" + parsed.name + "\" needs either \"model\" or \"path\"");
+        map.addFinding("name", "route \"" + parsed.name + "\" needs either \"model\" or \"path\"");
         return;
     }
     if (!parsed.path.empty() && (parsed.path.front() != '/' || parsed.path.size() < 2))
-        map.fault("path",
-                  "route \"" + parsed.name + "\": path \"" + parsed.path
-                      + "\" must start with / and name something");
+        map.addFinding("path",
+                       "route \"" + parsed.name + "\": path \"" + parsed.path
+                           + "\" must start with / and name something");
     if (parsed.path == "/v1" || parsed.path.starts_with("/v1/"))
-        map.fault("path", "route \"" + parsed.name + "\": paths under /v1 belong to the system");
+        map.addFinding("path",
+                       "route \"" + parsed.name + "\": paths under /v1 belong to the system");
     const std::string &target = parsed.model.empty() ? parsed.path : parsed.model;
     if (!targets.insert(target).second)
-        map.fault(parsed.model.empty() ? "path" : "model",
-                  "route \"" + parsed.name + "\": \"" + target + "\" belongs to another route");
+        map.addFinding(parsed.model.empty() ? "path" : "model",
+                       "route \"" + parsed.name + "\": \"" + target
+                           + "\" belongs to another route");
 }
 
 void checkTeams(yaml_map &map, const route &parsed, const std::set<std::string> &teamNames)
 {
     if (parsed.open && !parsed.teams.empty())
-        map.fault("teams", "route \"" + parsed.name + "\" is open and can't name teams");
+        map.addFinding("teams", "route \"" + parsed.name + "\" is open and can't name teams");
     if (!parsed.open && parsed.teams.empty())
-        map.fault("name", "route \"" + parsed.name + "\" needs \"teams\" or \"open: true\"");
+        map.addFinding("name", "route \"" + parsed.name + "\" needs \"teams\" or \"open: true\"");
     for (const std::string &name : parsed.teams) {
         if (!teamNames.contains(name))
-            map.fault("teams",
-                      "route \"" + parsed.name + "\": team \"" + name + "\" does not exist");
+            map.addFinding("teams",
+                           "route \"" + parsed.name + "\": team \"" + name + "\" does not exist");
     }
 }
 
@@ -95,7 +98,7 @@
     parsed.model = map.textOr("model", "");
     parsed.path = map.textOr("path", "");
     parsed.pool = map.text("pool");
-    parsed.teams = map.texts("teams");
+    parsed.teams = map.textList("teams");
     parsed.open = map.flagOr("open", false);
     parsed.idempotent = map.flagOr("idempotent", true);
     parsed.maxAnswerTokens =
@@ -117,37 +120,40 @@
     parsed.leaving = map.flagOr("leaving", false);
     const std::string address = map.text("address");
     if (!address.empty() && !parseEndpoint(address, parsed.address))
-        map.fault("address",
-                  "backend server \"" + parsed.name + "\": \"" + address
-                      + "\" is not a numeric address and port");
+        map.addFinding("address",
+                       "backend server \"" + parsed.name + "\": \"" + address
+                           + "\" is not a numeric address and port");
     else if (!address.empty() && !addresses.insert(address).second)
-        map.fault("address",
-                  "backend server \"" + parsed.name + "\": address \"" + address
-                      + "\" belongs to another");
+        map.addFinding("address",
+                       "backend server \"" + parsed.name + "\": address \"" + address
+                           + "\" belongs to another");
     return parsed;
 }
 
-rollout_order readRollout(const YAML::Node &node, const std::string &path, finding_sink &sink)
+rollout_spec readRollout(const YAML::Node &node, const std::string &path, finding_sink &sink)
 {
     yaml_map map(node, path, {"from", "to", "deadline"}, sink);
-    rollout_order parsed;
+    rollout_spec parsed;
     parsed.from = map.text("from");
     parsed.to = map.text("to");
     parsed.deadline = map.integer("deadline", {1, maxUnixSeconds});
     if (!parsed.to.empty() && parsed.from == parsed.to)
-        map.fault("to", "\"" + path + "\" moves from \"" + parsed.to + "\" to itself");
+        map.addFinding("to", "\"" + path + "\" moves from \"" + parsed.to + "\" to itself");
     return parsed;
 }
 
-/// The new version need not run anywhere yet: the rollout's driver orders servers to load it.
+/// Checks that a server runs the old version. The new one need not run anywhere yet: the
+/// rollout makes the servers load it.
 void checkRollout(yaml_map &map, const pool &parsed)
 {
     const std::string &from = parsed.rollout->from;
-    const bool runs = std::any_of(parsed.servers.begin(), parsed.servers.end(),
-                                  [&](const backend_server &each) { return each.version == from; });
-    if (!from.empty() && !runs)
-        map.fault("rollout",
-                  "pool \"" + parsed.name + "\": no backend server runs version \"" + from + "\"");
+    const bool runsOldVersion =
+        std::any_of(parsed.servers.begin(), parsed.servers.end(),
+                    [&](const backend_server &each) { return each.version == from; });
+    if (!from.empty() && !runsOldVersion)
+        map.addFinding("rollout",
+                       "pool \"" + parsed.name + "\": no backend server runs version \"" + from
+                           + "\"");
 }
 
 pool readPool(const YAML::Node &node, const std::string &path, std::set<std::string> &names,
@@ -172,7 +178,7 @@
         parsed.servers.push_back(readServer(item, itemPath, serverNames, addresses, sink));
     });
     if (parsed.servers.empty())
-        map.fault("servers", "pool \"" + parsed.name + "\" has no backend server");
+        map.addFinding("servers", "pool \"" + parsed.name + "\" has no backend server");
     if (map.has("rollout")) {
         parsed.rollout = readRollout(map.child("rollout"), map.pathOf("rollout"), sink);
         checkRollout(map, parsed);
@@ -182,7 +188,7 @@
 
 } // namespace
 
-const route *route_table::byModel(std::string_view model) const
+const route *route_table::findByModel(std::string_view model) const
 {
     const auto found = std::find_if(routes.begin(), routes.end(), [&](const route &each) {
         return !each.model.empty() && each.model == model;
@@ -190,28 +196,28 @@
     return found == routes.end() ? nullptr : &*found;
 }
 
-const route *route_table::byPath(std::string_view path) const
+const route *route_table::findByPath(std::string_view path) const
 {
     const route *best = nullptr;
     for (const route &each : routes) {
         if (each.path.empty() || !path.starts_with(each.path))
             continue;
-        const bool wholeSegment = path.size() == each.path.size() || path[each.path.size()] == '/'
+        const bool isWholeSegment = path.size() == each.path.size() || path[each.path.size()] == '/'
             || path[each.path.size()] == '?';
-        if (wholeSegment && (!best || each.path.size() > best->path.size()))
+        if (isWholeSegment && (!best || each.path.size() > best->path.size()))
             best = &each;
     }
     return best;
 }
 
-const team *route_table::teamNamed(std::string_view name) const
+const team *route_table::findTeam(std::string_view name) const
 {
     const auto found = std::find_if(teams.begin(), teams.end(),
                                     [&](const team &each) { return each.name == name; });
     return found == teams.end() ? nullptr : &*found;
 }
 
-const pool *pool_table::poolNamed(std::string_view name) const
+const pool *pool_table::findPool(std::string_view name) const
 {
     const auto found = std::find_if(pools.begin(), pools.end(),
                                     [&](const pool &each) { return each.name == name; });
@@ -263,14 +269,15 @@
     return parsed;
 }
 
-findings checkJoin(const route_table &routes, const pool_table &pools, std::string_view file)
+findings checkPoolReferences(const route_table &routes, const pool_table &pools,
+                             std::string_view file)
 {
     findings found;
     const auto add = [&](std::string message) {
         found.push_back({.file = std::string(file), .message = std::move(message)});
     };
     for (const route &each : routes.routes) {
-        const pool *target = pools.poolNamed(each.pool);
+        const pool *target = pools.findPool(each.pool);
         if (!target) {
             add("route \"" + each.name + "\": pool \"" + each.pool + "\" does not exist");
             continue;
--- a/libs/configuration/src/yaml_reader.cpp
+++ b/libs/configuration/src/yaml_reader.cpp
@@ -47,7 +47,7 @@
 
 YAML::Node yaml_map::child(const char *name) const
 {
-    const YAML::Node &constNode = m_node; // the const operator[] does not insert
+    const YAML::Node &constNode = m_node; // the non-const operator[] would insert the field
     return constNode[name];
 }
 
@@ -61,7 +61,7 @@
     return has(name) ? child(name).Mark() : m_node.Mark();
 }
 
-void yaml_map::fault(const char *name, std::string message)
+void yaml_map::addFinding(const char *name, std::string message)
 {
     m_sink.add(markOf(name), std::move(message));
 }
@@ -70,12 +70,12 @@
 {
     if (!has(name)) {
         if (required)
-            fault(name, "field \"" + pathOf(name) + "\" is missing");
+            addFinding(name, "field \"" + pathOf(name) + "\" is missing");
         return std::nullopt;
     }
     const YAML::Node node = child(name);
     if (!node.IsScalar()) {
-        fault(name, "field \"" + pathOf(name) + "\" must be a single value");
+        addFinding(name, "field \"" + pathOf(name) + "\" must be a single value");
         return std::nullopt;
     }
     return node.Scalar();
@@ -85,7 +85,7 @@
 {
     const std::optional<std::string> value = scalar(name, true);
     if (value && value->empty())
-        fault(name, "field \"" + pathOf(name) + "\" must not be empty");
+        addFinding(name, "field \"" + pathOf(name) + "\" must not be empty");
     return value.value_or("");
 }
 
@@ -103,8 +103,8 @@
     std::string list;
     for (const std::string_view item : choices)
         list += (list.empty() ? "" : ", ") + std::string(item);
-    fault(name,
-          "field \"" + pathOf(name) + "\" must be one of " + list + ", not \"" + value + "\"");
+    addFinding(name,
+               "field \"" + pathOf(name) + "\" must be one of " + list + ", not \"" + value + "\"");
     return std::string(fallback);
 }
 
@@ -112,9 +112,9 @@
 {
     if (!has(name)) {
         scalar(name, true);
-        return range.least;
+        return range.min;
     }
-    return integerOr(name, range, range.least);
+    return integerOr(name, range, range.min);
 }
 
 std::int64_t yaml_map::integerOr(const char *name, integer_range range, std::int64_t fallback)
@@ -126,14 +126,14 @@
     const char *end = value->data() + value->size();
     const std::from_chars_result parsed = std::from_chars(value->data(), end, number);
     if (parsed.ec != std::errc() || parsed.ptr != end) {
-        fault(name,
-              "field \"" + pathOf(name) + "\" must be a whole number, not \"" + *value + "\"");
+        addFinding(name,
+                   "field \"" + pathOf(name) + "\" must be a whole number, not \"" + *value + "\"");
         return fallback;
     }
-    if (number < range.least || number > range.most) {
-        fault(name,
-              "field \"" + pathOf(name) + "\" must lie between " + std::to_string(range.least)
-                  + " and " + std::to_string(range.most) + ", not " + *value);
+    if (number < range.min || number > range.max) {
+        addFinding(name,
+                   "field \"" + pathOf(name) + "\" must lie between " + std::to_string(range.min)
+                       + " and " + std::to_string(range.max) + ", not " + *value);
         return fallback;
     }
     return number;
@@ -145,11 +145,12 @@
     if (!value)
         return fallback;
     if (*value != "true" && *value != "false")
-        fault(name, "field \"" + pathOf(name) + "\" must be true or false, not \"" + *value + "\"");
+        addFinding(name,
+                   "field \"" + pathOf(name) + "\" must be true or false, not \"" + *value + "\"");
     return *value == "true";
 }
 
-std::vector<std::string> yaml_map::texts(const char *name)
+std::vector<std::string> yaml_map::textList(const char *name)
 {
     std::vector<std::string> values;
     each(name, false, [&](const YAML::Node &node, const std::string &path) {
@@ -166,12 +167,12 @@
 {
     if (!has(name)) {
         if (required)
-            fault(name, "field \"" + pathOf(name) + "\" is missing");
+            addFinding(name, "field \"" + pathOf(name) + "\" is missing");
         return;
     }
     const YAML::Node list = child(name);
     if (!list.IsSequence()) {
-        fault(name, "field \"" + pathOf(name) + "\" must be a list");
+        addFinding(name, "field \"" + pathOf(name) + "\" must be a list");
         return;
     }
     for (std::size_t i = 0; i < list.size(); ++i)
@@ -182,8 +183,8 @@
 {
     try {
         return YAML::Load(std::string(text));
-    } catch (const YAML::Exception &problem) {
-        sink.add(problem.mark, "not valid YAML: " + problem.msg);
+    } catch (const YAML::Exception &exception) {
+        sink.add(exception.mark, "not valid YAML: " + exception.msg);
         return std::nullopt;
     }
 }
--- a/libs/configuration/src/yaml_reader.h
+++ b/libs/configuration/src/yaml_reader.h
@@ -19,7 +19,7 @@
 public:
     finding_sink(std::string_view file, findings &items) : m_file(file), m_items(items) { }
 
-    /// Records @p message at the place of @p mark.
+    /// Adds a finding with @p message at the location of @p mark.
     void add(const YAML::Mark &mark, std::string message);
 
 private:
@@ -27,15 +27,15 @@
     findings &m_items;
 };
 
-/// Range of a whole number.
+/// Inclusive range of an integer field.
 struct integer_range
 {
-    std::int64_t least = 0;
-    std::int64_t most = 0;
+    std::int64_t min = 0;
+    std::int64_t max = 0;
 };
 
-/// Reads the fields of one YAML map. Each method records a finding and returns a default where the
-/// field is absent or wrong, so that one pass meets every fault. Field paths in messages look like
+/// Reads the fields of one YAML map. If a field is missing or invalid, the method adds a finding
+/// and returns a default, so that one pass finds every error. Field paths in messages look like
 /// "teams[2].rate".
 class yaml_map
 {
@@ -47,24 +47,25 @@
     bool has(const char *name) const;
     std::string text(const char *name);
     std::string textOr(const char *name, std::string_view fallback);
-    /// Text that must be one of @p choices.
+    /// Returns the field's text, which must be one of @p choices.
     std::string choice(const char *name, std::initializer_list<std::string_view> choices,
                        std::string_view fallback);
     std::int64_t integer(const char *name, integer_range range);
     std::int64_t integerOr(const char *name, integer_range range, std::int64_t fallback);
     bool flagOr(const char *name, bool fallback);
-    std::vector<std::string> texts(const char *name);
+    std::vector<std::string> textList(const char *name);
     /// Calls @p visit for each element of a list. An absent optional list has no elements.
     void each(const char *name, bool required,
               const std::function<void(const YAML::Node &, const std::string &path)> &visit);
-    /// The field's node, for a nested map.
+    /// Returns the field's node, for a nested map.
     YAML::Node child(const char *name) const;
 
-    /// Path of field @p name.
+    /// Returns the path of field @p name within the document.
     std::string pathOf(std::string_view name) const;
-    /// Place of field @p name, or of the map where it is absent.
+    /// Returns the location of field @p name, or of the map if the field is absent.
     YAML::Mark markOf(const char *name) const;
-    void fault(const char *name, std::string message);
+    /// Adds a finding with @p message at markOf(@p name).
+    void addFinding(const char *name, std::string message);
 
 private:
     std::optional<std::string> scalar(const char *name, bool required);
@@ -74,7 +75,7 @@
     finding_sink &m_sink;
 };
 
-/// Parses @p text. Records a finding and returns nothing where it is not YAML.
+/// Parses @p text. Adds a finding and returns nothing if it is not valid YAML.
 std::optional<YAML::Node> parseYaml(std::string_view text, finding_sink &sink);
 
 } // namespace trefoil
--- a/libs/configuration/tests/settings_test.cpp
+++ b/libs/configuration/tests/settings_test.cpp
@@ -19,7 +19,7 @@
     EXPECT_EQ(toString(read->seeds.at(0)), "127.0.0.3:2");
 }
 
-TEST(Settings, ReportsEveryFault)
+TEST(Settings, ReportsEveryFinding)
 {
     const tl::expected<settings, findings> read = readSettings(
         "zone: a\nlisteners: {callers: 'localhost:1', peers: '127.0.0.1:2'}\nlog: {level: "
--- a/libs/configuration/tests/tables_test.cpp
+++ b/libs/configuration/tests/tables_test.cpp
@@ -4,7 +4,7 @@
 
 namespace trefoil {
 
-TEST(Tables, ReportsEveryFaultWithItsPlace)
+TEST(Tables, ReportsEveryFindingWithItsLocation)
 {
     const std::string text = "teams:\n"
                              "  - {name: reef, rate: 0, burst: 10}\n"
@@ -29,7 +29,7 @@
               "routes.yaml:10:47: field \"routes[1].open\" must be true or false, not \"yes\"\n");
 }
 
-TEST(Tables, DuplicateFieldIsAFault)
+TEST(Tables, ReportsADuplicateField)
 {
     const tl::expected<pool_table, findings> read =
         readPools("pools:\n  - name: a\n    name: b\n    servers: [{name: s, zone: a, address: "
@@ -40,21 +40,21 @@
               "pools.yaml:3:5: field \"pools[0].name\" stands twice, first on line 2\n");
 }
 
-TEST(Tables, JoinNamesWhatIsMissing)
+TEST(Tables, ReportsARouteToAMissingPool)
 {
     const route_table routes {.routes = {{.name = "r", .model = "m", .pool = "nowhere"}}};
-    const findings found = checkJoin(routes, {}, "routes.yaml");
+    const findings found = checkPoolReferences(routes, {}, "routes.yaml");
     ASSERT_EQ(found.size(), 1u);
     EXPECT_EQ(found[0].message, "route \"r\": pool \"nowhere\" does not exist");
 }
 
-TEST(Tables, PathsMatchWholeSegmentsAndTheLongestWins)
+TEST(Tables, MatchesTheLongestPathInWholeSegments)
 {
     const route_table table {
         .routes = {{.name = "a", .path = "/ledger"}, {.name = "b", .path = "/ledger/loans"}}};
-    EXPECT_EQ(table.byPath("/ledger/loans/7")->name, "b");
-    EXPECT_EQ(table.byPath("/ledger?x=1")->name, "a");
-    EXPECT_EQ(table.byPath("/ledgers"), nullptr);
+    EXPECT_EQ(table.findByPath("/ledger/loans/7")->name, "b");
+    EXPECT_EQ(table.findByPath("/ledger?x=1")->name, "a");
+    EXPECT_EQ(table.findByPath("/ledgers"), nullptr);
 }
 
 } // namespace trefoil
--- a/libs/control/src/configuration_store.cpp
+++ b/libs/control/src/configuration_store.cpp
@@ -149,7 +149,7 @@
     // The tables arrive one by one, so a name that does not join yet is reported, and the requests
     // that need it are refused, but neither table waits for the other.
     if (m_routes && m_pools) {
-        const findings dangling = checkJoin(*m_routes, *m_pools, config_names::routes);
+        const findings dangling = checkPoolReferences(*m_routes, *m_pools, config_names::routes);
         m_refused.insert(m_refused.end(), dangling.begin(), dangling.end());
     }
     m_view = std::make_shared<const configuration_view>(std::move(next));
--- a/libs/control/src/control_node.cpp
+++ b/libs/control/src/control_node.cpp
@@ -336,7 +336,7 @@
     for (const std::pair<const traffic_desk::evidence_key, outcome_counts> &each :
          m_traffic.ownOutcomes()) {
         // Only a move needs the others' evidence.
-        const pool *table = m_inForce->pools.poolNamed(each.first.pool);
+        const pool *table = m_inForce->pools.findPool(each.first.pool);
         outcome_counts &published = m_publishedEvidence[each.first];
         if (!table || !table->rollout || published == each.second)
             continue;
--- a/libs/control/src/rollout_desk.cpp
+++ b/libs/control/src/rollout_desk.cpp
@@ -31,7 +31,7 @@
 {
     m_view = std::move(view);
     std::erase_if(m_drivers, [&](const auto &each) {
-        const pool *table = m_view->pools.poolNamed(each.first);
+        const pool *table = m_view->pools.findPool(each.first);
         return !table || !table->rollout || table->rollout->from != each.second.driver.record().from
             || table->rollout->to != each.second.driver.record().to;
     });
--- a/libs/control/src/traffic_desk.cpp
+++ b/libs/control/src/traffic_desk.cpp
@@ -54,7 +54,7 @@
         teams[each.name] = {.rate = static_cast<double>(each.rate),
                             .burst = static_cast<double>(each.burst)};
     m_limits.setTeams(now, teams);
-    std::erase_if(m_pools, [&](const auto &each) { return !m_view->pools.poolNamed(each.first); });
+    std::erase_if(m_pools, [&](const auto &each) { return !m_view->pools.findPool(each.first); });
     for (const pool &each : m_view->pools.pools) {
         if (!m_pools.contains(each.name))
             m_pools.emplace(each.name, placement({.randomSeed = m_randomSeed}));
@@ -64,7 +64,7 @@
 
 void traffic_desk::updateServers(const std::string &poolName)
 {
-    const pool *table = m_view->pools.poolNamed(poolName);
+    const pool *table = m_view->pools.findPool(poolName);
     const auto found = m_pools.find(poolName);
     if (!table || found == m_pools.end())
         return;
@@ -371,7 +371,7 @@
                 .retryAfter = busyRetry});
         return;
     }
-    const struct pool *table = m_view->pools.poolNamed(state.begin.pool);
+    const struct pool *table = m_view->pools.findPool(state.begin.pool);
     const auto server =
         std::find_if(table->servers.begin(), table->servers.end(),
                      [&](const backend_server &s) { return s.name == choice->server; });
--- a/libs/rpc/include/rpc/rpc.h
+++ b/libs/rpc/include/rpc/rpc.h
@@ -8,18 +8,18 @@
 
 namespace trefoil {
 
-/// Answers the one method that peers call.
+/// Handles the only method, "deliver": takes its message and returns the result.
 using rpc_handler = std::function<Json::Value(const Json::Value &message)>;
 
-/// Carries request text to a peer and fills in its response. Returns false where no response came.
+/// Sends request text to a peer and fills in the response text. Returns false if no response came.
 using rpc_transport = std::function<bool(const std::string &request, std::string &response)>;
 
-/// Server side of the peers' JSON-RPC.
+/// Server side of JSON-RPC between instances, without a transport.
 ///
-///     rpc_server server([](const Json::Value &message) { return answerTo(message); });
+///     rpc_server server([](const Json::Value &message) { return handle(message); });
 ///     std::string response = server.answer(requestText);
 ///
-/// Thread-safe as far as the handler is.
+/// Thread-safe if the handler is.
 class rpc_server
 {
 public:
@@ -29,7 +29,7 @@
     rpc_server(const rpc_server &) = delete;
     rpc_server &operator=(const rpc_server &) = delete;
 
-    /// Returns the response text to @p request; a malformed request gets a JSON-RPC error.
+    /// Returns the response text for @p request; a JSON-RPC error if @p request is malformed.
     std::string answer(const std::string &request);
 
 private:
@@ -37,9 +37,9 @@
     std::unique_ptr<implementation> m_implementation;
 };
 
-/// Calls a peer with @p message over @p transport. Returns false, with @p problem saying why, when
-/// no valid answer came; else fills in @p answer. Thread-safe.
+/// Calls a peer with @p message over @p transport and fills in @p answer. Returns false and
+/// describes the failure in @p errorMessage if no valid answer came. Thread-safe.
 bool rpcCall(const rpc_transport &transport, const Json::Value &message, Json::Value &answer,
-             std::string &problem);
+             std::string &errorMessage);
 
 } // namespace trefoil
--- a/libs/rpc/src/rpc.cpp
+++ b/libs/rpc/src/rpc.cpp
@@ -10,8 +10,9 @@
 constexpr const char *methodName = "deliver";
 constexpr const char *parameterName = "message";
 
-/// Connector without a socket: the HTTP listener hands it text and takes text.
-class text_connector : public jsonrpc::AbstractServerConnector
+/// Server connector without a transport: the HTTP listener passes in request text and takes the
+/// response text.
+class text_server_connector : public jsonrpc::AbstractServerConnector
 {
 public:
     bool StartListening() override { return true; }
@@ -23,11 +24,11 @@
     }
 };
 
-/// Passes the client's text to the caller's transport.
-class transport_connector : public jsonrpc::IClientConnector
+/// Client connector that sends the request text over an rpc_transport.
+class transport_client_connector : public jsonrpc::IClientConnector
 {
 public:
-    explicit transport_connector(const rpc_transport &transport) : m_transport(transport) { }
+    explicit transport_client_connector(const rpc_transport &transport) : m_transport(transport) { }
 
     void SendRPCMessage(const std::string &message,
                         std::string &result) throw(jsonrpc::JsonRpcException) override
@@ -43,13 +44,14 @@
 
 } // namespace
 
-/// The connector is a base so that it exists before the server that registers with it.
-class rpc_server::implementation : private text_connector,
+/// The connector is a base class, so that it is constructed before the AbstractServer that takes a
+/// reference to it.
+class rpc_server::implementation : private text_server_connector,
                                    public jsonrpc::AbstractServer<rpc_server::implementation>
 {
 public:
     explicit implementation(rpc_handler handler)
-        : jsonrpc::AbstractServer<implementation>(static_cast<text_connector &>(*this)),
+        : jsonrpc::AbstractServer<implementation>(static_cast<text_server_connector &>(*this)),
           m_handler(std::move(handler))
     {
         const jsonrpc::Procedure procedure(methodName, jsonrpc::PARAMS_BY_NAME,
@@ -86,17 +88,17 @@
 }
 
 bool rpcCall(const rpc_transport &transport, const Json::Value &message, Json::Value &answer,
-             std::string &problem)
+             std::string &errorMessage)
 {
-    transport_connector connector(transport);
+    transport_client_connector connector(transport);
     jsonrpc::Client client(connector, jsonrpc::JSONRPC_CLIENT_V2);
     Json::Value parameters(Json::objectValue);
     parameters[parameterName] = message;
     try {
         answer = client.CallMethod(methodName, parameters);
         return true;
-    } catch (const jsonrpc::JsonRpcException &failure) {
-        problem = failure.what();
+    } catch (const jsonrpc::JsonRpcException &exception) {
+        errorMessage = exception.what();
         return false;
     }
 }
--- a/libs/rpc/tests/rpc_test.cpp
+++ b/libs/rpc/tests/rpc_test.cpp
@@ -4,7 +4,7 @@
 
 namespace trefoil {
 
-TEST(Rpc, CarriesAMessageAndItsAnswer)
+TEST(Rpc, DeliversAMessageAndItsAnswer)
 {
     rpc_server server([](const Json::Value &message) {
         Json::Value answer(Json::objectValue);
@@ -18,12 +18,12 @@
     Json::Value message(Json::objectValue);
     message["number"] = 21;
     Json::Value answer;
-    std::string problem;
-    ASSERT_TRUE(rpcCall(transport, message, answer, problem)) << problem;
+    std::string errorMessage;
+    ASSERT_TRUE(rpcCall(transport, message, answer, errorMessage)) << errorMessage;
     EXPECT_EQ(answer["twice"].asInt(), 42);
 }
 
-TEST(Rpc, SaysWhyNoAnswerCame)
+TEST(Rpc, ReportsWhyACallFailed)
 {
     const rpc_transport silent = [](const std::string &, std::string &) { return false; };
     const rpc_transport garbled = [](const std::string &, std::string &response) {
@@ -31,13 +31,13 @@
         return true;
     };
     Json::Value answer;
-    std::string problem;
-    EXPECT_FALSE(rpcCall(silent, Json::Value(Json::objectValue), answer, problem));
-    EXPECT_NE(problem.find("did not answer"), std::string::npos);
-    EXPECT_FALSE(rpcCall(garbled, Json::Value(Json::objectValue), answer, problem));
+    std::string errorMessage;
+    EXPECT_FALSE(rpcCall(silent, Json::Value(Json::objectValue), answer, errorMessage));
+    EXPECT_NE(errorMessage.find("did not answer"), std::string::npos);
+    EXPECT_FALSE(rpcCall(garbled, Json::Value(Json::objectValue), answer, errorMessage));
 }
 
-TEST(Rpc, MalformedRequestGetsAnErrorNotACrash)
+TEST(Rpc, MalformedRequestGetsAJsonRpcError)
 {
     rpc_server server([](const Json::Value &) { return Json::Value(Json::objectValue); });
     EXPECT_NE(server.answer("{").find("\"error\""), std::string::npos);
--- a/libs/telemetry/include/telemetry/log.h
+++ b/libs/telemetry/include/telemetry/log.h
@@ -7,42 +7,43 @@
 /// Severity of a log line.
 enum class log_level { Debug, Info, Warning, Error };
 
-/// Options of the process's log.
+/// Options of the process log.
 struct log_options
 {
-    log_level least = log_level::Info;
-    /// One JSON object a line instead of text.
+    /// Lines below this level are not written.
+    log_level minLevel = log_level::Info;
+    /// Write each line as one JSON object instead of text.
     bool asJson = false;
-    /// Name of the instance, written on each line.
+    /// Name of the instance, written to each line.
     std::string_view instance;
 };
 
-/// Sends log lines to the standard error stream. Call once, before other threads start.
+/// Starts writing log lines to the standard error stream. Call once, before other threads start.
 void startLog(const log_options &options);
 
-/// Returns the level called @p name: debug, info, warning or error; Info for any other name.
+/// Returns the level called @p name (debug, info, warning or error), or Info for any other name.
 /// Thread-safe.
-log_level logLevelNamed(std::string_view name);
+log_level parseLogLevel(std::string_view name);
 
-/// Writes one short sentence. @p part is the fixed prefix of the part that speaks, for example
-/// "limits". Never pass a caller's key or prompt. Thread-safe.
-void logLine(log_level level, std::string_view part, std::string_view sentence);
+/// Writes one line. @p component is a fixed name for the component that logs, for example "limits".
+/// @p message must not contain a caller's key or prompt. Thread-safe.
+void logLine(log_level level, std::string_view component, std::string_view message);
 
-inline void logDebug(std::string_view part, std::string_view sentence)
+inline void logDebug(std::string_view component, std::string_view message)
 {
-    logLine(log_level::Debug, part, sentence);
+    logLine(log_level::Debug, component, message);
 }
-inline void logInfo(std::string_view part, std::string_view sentence)
+inline void logInfo(std::string_view component, std::string_view message)
 {
-    logLine(log_level::Info, part, sentence);
+    logLine(log_level::Info, component, message);
 }
-inline void logWarning(std::string_view part, std::string_view sentence)
+inline void logWarning(std::string_view component, std::string_view message)
 {
-    logLine(log_level::Warning, part, sentence);
+    logLine(log_level::Warning, component, message);
 }
-inline void logError(std::string_view part, std::string_view sentence)
+inline void logError(std::string_view component, std::string_view message)
 {
-    logLine(log_level::Error, part, sentence);
+    logLine(log_level::Error, component, message);
 }
 
 } // namespace trefoil
--- a/libs/telemetry/include/telemetry/metrics.h
+++ b/libs/telemetry/include/telemetry/metrics.h
@@ -12,20 +12,20 @@
 
 namespace trefoil {
 
-/// Number that only grows. Thread-safe.
+/// Monotonically increasing number. Thread-safe.
 class counter
 {
 public:
     /// Adds @p amount.
     void add(std::uint64_t amount = 1) { m_value.fetch_add(amount, std::memory_order_relaxed); }
-    /// Returns the sum.
+    /// Returns the total.
     std::uint64_t value() const { return m_value.load(std::memory_order_relaxed); }
 
 private:
     std::atomic<std::uint64_t> m_value = 0;
 };
 
-/// Number that goes up and down. Thread-safe.
+/// Number that can increase and decrease. Thread-safe.
 class gauge
 {
 public:
@@ -40,18 +40,19 @@
     std::atomic<std::int64_t> m_value = 0;
 };
 
-/// Distribution of times, kept as streaming quantiles in constant memory. Thread-safe.
-class timing
+/// Distribution of durations with estimated quantiles, in constant memory. Thread-safe.
+class duration_summary
 {
 public:
-    timing();
-    ~timing();
-    timing(const timing &) = delete;
-    timing &operator=(const timing &) = delete;
+    duration_summary();
+    ~duration_summary();
+    duration_summary(const duration_summary &) = delete;
+    duration_summary &operator=(const duration_summary &) = delete;
 
     /// Adds one observation.
     void observe(duration time);
-    /// Appends Prometheus summary lines for metric @p name with @p labels (without braces).
+    /// Appends Prometheus summary lines in seconds for metric @p name with @p labels (without
+    /// braces).
     void write(std::string &text, std::string_view name, std::string_view labels) const;
 
 private:
@@ -60,22 +61,23 @@
     std::unique_ptr<accumulator> m_accumulator;
 };
 
-/// All metrics of a process, by name and labels.
+/// Registry of a process's metrics by name and labels.
 ///
 ///     counter &refused = registry.counterOf("trefoil_refused_total", "code=\"over-limit\"");
 ///     refused.add();
 ///
-/// References stay valid as long as the registry. All methods are thread-safe.
+/// References stay valid for the registry's lifetime. All methods are thread-safe.
 class metric_registry
 {
 public:
-    /// Returns the counter @p name with @p labels, creating it at first use.
+    /// Returns the counter @p name with @p labels, creating it on first use.
     counter &counterOf(std::string_view name, std::string_view labels = "");
-    /// Returns the gauge @p name with @p labels, creating it at first use.
+    /// Returns the gauge @p name with @p labels, creating it on first use.
     gauge &gaugeOf(std::string_view name, std::string_view labels = "");
-    /// Returns the timing @p name with @p labels, creating it at first use.
-    timing &timingOf(std::string_view name, std::string_view labels = "");
-    /// Returns all metrics in the Prometheus text format, sorted by name.
+    /// Returns the summary @p name with @p labels, creating it on first use.
+    duration_summary &summaryOf(std::string_view name, std::string_view labels = "");
+    /// Returns all metrics in the Prometheus text format: counters, gauges, then summaries, each
+    /// sorted by name.
     std::string write() const;
 
 private:
@@ -84,7 +86,7 @@
     mutable std::mutex m_mutex;
     std::map<metric_key, std::unique_ptr<counter>> m_counters;
     std::map<metric_key, std::unique_ptr<gauge>> m_gauges;
-    std::map<metric_key, std::unique_ptr<timing>> m_timings;
+    std::map<metric_key, std::unique_ptr<duration_summary>> m_summaries;
 };
 
 } // namespace trefoil
--- a/libs/telemetry/include/telemetry/span.h
+++ b/libs/telemetry/include/telemetry/span.h
@@ -11,7 +11,7 @@
 
 namespace trefoil {
 
-/// Place in a distributed trace, as the W3C header "traceparent" carries it.
+/// Position in a distributed trace, as carried by the W3C header "traceparent".
 struct trace_context
 {
     digest128 traceId;
@@ -19,7 +19,7 @@
     bool sampled = true;
 };
 
-/// One finished hop of a request.
+/// One finished operation within a trace.
 struct span
 {
     trace_context context;
@@ -31,20 +31,20 @@
     bool failed = false;
 };
 
-/// Parses the value of a "traceparent" header. Returns nothing on a malformed one, which callers
-/// may send and which then starts a new trace. Thread-safe.
+/// Parses the value of a "traceparent" header. Returns nothing if the value is malformed; callers
+/// may send such values, and a new trace should then be started. Thread-safe.
 std::optional<trace_context> parseTraceparent(std::string_view text);
 
 /// Returns the value of a "traceparent" header. Thread-safe.
 std::string toTraceparent(const trace_context &context);
 
-/// Returns a new trace's context with random identifiers. Thread-safe.
+/// Returns the context of a new trace with random identifiers. Thread-safe.
 trace_context newTrace();
 
-/// Returns a child of @p parent with a random span identifier. Thread-safe.
+/// Returns the context of a child span of @p parent with a random span identifier. Thread-safe.
 trace_context childOf(const trace_context &parent);
 
-/// Returns @p spans as one OTLP/JSON export request on one line. @p instance becomes the resource's
+/// Returns @p spans as an OTLP/JSON export request on one line, with @p instance as the resource's
 /// service.instance.id. Thread-safe.
 std::string toOtlpJson(const std::vector<span> &spans, std::string_view instance);
 
--- a/libs/telemetry/src/event_log.cpp
+++ b/libs/telemetry/src/event_log.cpp
@@ -29,37 +29,37 @@
 
 namespace logging = boost::log;
 
-/// Lines that wait for the reader: a second of a busy instance.
-constexpr std::size_t queuedLines = 4096;
-/// Marks lines of this log, so that the other log's sink passes them over.
-constexpr const char *channel = "event";
+/// Capacity of the queue to the output thread: about one second of lines of a busy instance.
+constexpr std::size_t maxQueuedLines = 4096;
+/// Channel attribute of this log's lines, by which the sink of log.h excludes them.
+constexpr const char *channelName = "event";
 
 using backend = logging::sinks::text_ostream_backend;
-using queue = logging::sinks::bounded_fifo_queue<queuedLines, logging::sinks::drop_on_overflow>;
+using queue = logging::sinks::bounded_fifo_queue<maxQueuedLines, logging::sinks::drop_on_overflow>;
 using frontend = logging::sinks::asynchronous_sink<backend, queue>;
 
-/// Limits lines of one event.
-struct line_bucket
+/// Token bucket that limits the lines of one event.
+struct token_bucket
 {
-    double level = 0;
-    timestamp filledAt;
-    std::uint64_t leftOut = 0;
+    double tokens = 0;
+    timestamp refilledAt;
+    std::uint64_t droppedLines = 0;
 };
 
-struct log_state
+struct event_log_state
 {
     std::mutex mutex;
     std::string instance;
     double linesPerSecond = 0;
-    std::map<std::string, line_bucket, std::less<>> buckets;
+    std::map<std::string, token_bucket, std::less<>> buckets;
     boost::shared_ptr<frontend> sink;
     std::atomic<bool> isStarted = false;
     std::atomic<std::uint64_t> dropped = 0;
 };
 
-log_state &state()
+event_log_state &state()
 {
-    static log_state instance;
+    static event_log_state instance;
     return instance;
 }
 
@@ -80,33 +80,35 @@
     text += '"';
 }
 
-/// Takes one line of @p event. Returns how many were left out before it, or -1 when this one is
-/// left out as well.
-std::int64_t takeLine(log_state &log, std::string_view event)
+/// Takes a token for one line of @p event. Returns the number of lines dropped since the event's
+/// last line, or -1 if this line must be dropped as well.
+std::int64_t takeToken(event_log_state &log, std::string_view event)
 {
     const std::lock_guard<std::mutex> lock(log.mutex);
     const timestamp now = boot_clock::now();
-    const auto found = log.buckets
-                           .try_emplace(std::string(event),
-                                        line_bucket {.level = log.linesPerSecond, .filledAt = now})
-                           .first;
-    line_bucket &bucket = found->second;
-    bucket.level = std::min(log.linesPerSecond,
-                            bucket.level + toSeconds(now - bucket.filledAt) * log.linesPerSecond);
-    bucket.filledAt = now;
-    if (bucket.level < 1) {
-        bucket.leftOut += 1;
+    const auto found =
+        log.buckets
+            .try_emplace(std::string(event),
+                         token_bucket {.tokens = log.linesPerSecond, .refilledAt = now})
+            .first;
+    token_bucket &bucket = found->second;
+    bucket.tokens =
+        std::min(log.linesPerSecond,
+                 bucket.tokens + toSeconds(now - bucket.refilledAt) * log.linesPerSecond);
+    bucket.refilledAt = now;
+    if (bucket.tokens < 1) {
+        bucket.droppedLines += 1;
         return -1;
     }
-    bucket.level -= 1;
-    return static_cast<std::int64_t>(std::exchange(bucket.leftOut, 0));
+    bucket.tokens -= 1;
+    return static_cast<std::int64_t>(std::exchange(bucket.droppedLines, 0));
 }
 
 } // namespace
 
-event_line::event_line(std::string_view part, std::string_view event) : m_event(event)
+event_line::event_line(std::string_view component, std::string_view event) : m_event(event)
 {
-    add("part", part);
+    add("part", component);
     add("event", event);
 }
 
@@ -158,14 +160,14 @@
 
 void startEventLog(const event_log_options &options)
 {
-    log_state &log = state();
+    event_log_state &log = state();
     log.instance = std::string(options.instance);
     log.linesPerSecond = options.linesPerSecond;
     const boost::shared_ptr<backend> stream = boost::make_shared<backend>();
     stream->add_stream(boost::shared_ptr<std::ostream>(&std::cout, boost::null_deleter()));
     stream->auto_flush(true);
     log.sink = boost::make_shared<frontend>(stream);
-    log.sink->set_filter(logging::expressions::attr<std::string>("Channel") == channel);
+    log.sink->set_filter(logging::expressions::attr<std::string>("Channel") == channelName);
     log.sink->set_formatter(logging::expressions::stream << logging::expressions::smessage);
     logging::core::get()->add_sink(log.sink);
     log.isStarted = true;
@@ -173,17 +175,18 @@
 
 void stopEventLog()
 {
-    log_state &log = state();
+    event_log_state &log = state();
     if (!log.isStarted.exchange(false))
         return;
-    // A reader that has stopped reading would block the flush for good: the process ends anyway.
-    constexpr duration patience = std::chrono::milliseconds(500);
+    // A blocked output would block the flush forever, so give up after a timeout: the process ends
+    // anyway.
+    constexpr duration flushTimeout = std::chrono::milliseconds(500);
     std::atomic<bool> isFlushed = false;
     std::thread flusher([&log, &isFlushed] {
         log.sink->flush();
         isFlushed = true;
     });
-    const timestamp end = boot_clock::now() + patience;
+    const timestamp end = boot_clock::now() + flushTimeout;
     while (!isFlushed && boot_clock::now() < end)
         std::this_thread::sleep_for(std::chrono::milliseconds(5));
     if (!isFlushed) {
@@ -197,22 +200,22 @@
 
 void writeEvent(const event_line &line)
 {
-    log_state &log = state();
+    event_log_state &log = state();
     if (!log.isStarted)
         return;
-    const std::int64_t leftOut = takeLine(log, line.event());
-    if (leftOut < 0) {
+    const std::int64_t droppedLines = takeToken(log, line.event());
+    if (droppedLines < 0) {
         log.dropped += 1;
         return;
     }
     std::string text = "{\"time_ms\":" + std::to_string(wallMilliseconds()) + ",\"instance\":";
     appendEscaped(text, log.instance);
     text.append(",").append(line.fields());
-    if (leftOut > 0)
-        text.append(",\"left_out\":").append(std::to_string(leftOut));
+    if (droppedLines > 0)
+        text.append(",\"left_out\":").append(std::to_string(droppedLines));
     text += "}";
     thread_local logging::sources::channel_logger<std::string> logger(logging::keywords::channel =
-                                                                          channel);
+                                                                          channelName);
     BOOST_LOG(logger) << text;
 }
 
--- a/libs/telemetry/src/log.cpp
+++ b/libs/telemetry/src/log.cpp
@@ -24,10 +24,10 @@
 
 constexpr std::array<const char *, 4> levelNames {"debug", "info", "warning", "error"};
 
-/// What startLog() was given; written before other threads start.
+/// The options of startLog(); written before other threads start, so reads need no lock.
 struct log_state
 {
-    log_level least = log_level::Info;
+    log_level minLevel = log_level::Info;
     bool asJson = false;
     std::string instance;
 };
@@ -38,18 +38,18 @@
     return instance;
 }
 
-std::string formatJson(log_level level, std::string_view part, std::string_view sentence)
+std::string formatJson(log_level level, std::string_view component, std::string_view message)
 {
     Json::Value line(Json::objectValue);
     line["time_ms"] = Json::UInt64(wallMilliseconds());
     line["level"] = levelNames[static_cast<std::size_t>(level)];
     line["instance"] = state().instance;
-    line["part"] = std::string(part);
-    line["message"] = std::string(sentence);
+    line["part"] = std::string(component);
+    line["message"] = std::string(message);
     return writeJson(line);
 }
 
-std::string formatText(log_level level, std::string_view part, std::string_view sentence)
+std::string formatText(log_level level, std::string_view component, std::string_view message)
 {
     std::string line = std::to_string(wallMilliseconds());
     line += " ";
@@ -57,9 +57,9 @@
     line += " ";
     line += state().instance;
     line += " ";
-    line += part;
+    line += component;
     line += ": ";
-    line += sentence;
+    line += message;
     return line;
 }
 
@@ -67,7 +67,7 @@
 
 void startLog(const log_options &options)
 {
-    state() = {.least = options.least,
+    state() = {.minLevel = options.minLevel,
                .asJson = options.asJson,
                .instance = std::string(options.instance)};
     using backend = logging::sinks::text_ostream_backend;
@@ -76,13 +76,13 @@
     stream->auto_flush(true);
     using frontend = logging::sinks::synchronous_sink<backend>;
     const boost::shared_ptr<frontend> sink = boost::make_shared<frontend>(stream);
-    // Lines of a channel have a sink of their own.
+    // Lines with a channel belong to the event log, which has its own sink.
     sink->set_filter(!logging::expressions::has_attr<std::string>("Channel"));
     sink->set_formatter(logging::expressions::stream << logging::expressions::smessage);
     logging::core::get()->add_sink(sink);
 }
 
-log_level logLevelNamed(std::string_view name)
+log_level parseLogLevel(std::string_view name)
 {
     for (std::size_t i = 0; i < levelNames.size(); ++i) {
         if (name == levelNames[i])
@@ -91,13 +91,13 @@
     return log_level::Info;
 }
 
-void logLine(log_level level, std::string_view part, std::string_view sentence)
+void logLine(log_level level, std::string_view component, std::string_view message)
 {
-    if (level < state().least)
+    if (level < state().minLevel)
         return;
     thread_local logging::sources::severity_logger<log_level> logger;
-    BOOST_LOG_SEV(logger, level) << (state().asJson ? formatJson(level, part, sentence)
-                                                    : formatText(level, part, sentence));
+    BOOST_LOG_SEV(logger, level) << (state().asJson ? formatJson(level, component, message)
+                                                    : formatText(level, component, message));
 }
 
 } // namespace trefoil
--- a/libs/telemetry/src/span.cpp
+++ b/libs/telemetry/src/span.cpp
@@ -20,7 +20,8 @@
 
 std::uint64_t randomBits()
 {
-    // Seeded from the system: identifiers of traces decide nothing, so they need no fixed seed.
+    // Seeded by the operating system: no decision depends on trace identifiers, so they need no
+    // fixed seed.
     thread_local std::mt19937_64 generator {std::random_device {}()};
     std::uint64_t bits = 0;
     while (bits == 0)
@@ -36,12 +37,12 @@
     return item;
 }
 
-std::string nanoseconds(std::uint64_t milliseconds)
+std::string toNanosecondText(std::uint64_t milliseconds)
 {
     return std::to_string(milliseconds) + "000000";
 }
 
-Json::Value spanJson(const span &item)
+Json::Value toJson(const span &item)
 {
     constexpr int kindServer = 2;
     constexpr int statusError = 2;
@@ -52,8 +53,8 @@
         value["parentSpanId"] = hex64(item.parentSpanId);
     value["name"] = item.name;
     value["kind"] = kindServer;
-    value["startTimeUnixNano"] = nanoseconds(item.startMilliseconds);
-    value["endTimeUnixNano"] = nanoseconds(item.endMilliseconds);
+    value["startTimeUnixNano"] = toNanosecondText(item.startMilliseconds);
+    value["endTimeUnixNano"] = toNanosecondText(item.endMilliseconds);
     for (const std::pair<std::string, std::string> &each : item.attributes)
         value["attributes"].append(attribute(each.first, each.second));
     if (item.failed)
@@ -65,7 +66,7 @@
 
 std::optional<trace_context> parseTraceparent(std::string_view text)
 {
-    // version-traceid-spanid-flags: 00-<32>-<16>-<2>
+    // version-traceid-spanid-flags, in hexadecimal digits: 2-32-16-2; the version is 00.
     constexpr std::size_t length = 55;
     if (text.size() != length || text[2] != '-' || text[35] != '-' || text[52] != '-')
         return std::nullopt;
@@ -103,7 +104,7 @@
     Json::Value scope(Json::objectValue);
     scope["scope"]["name"] = "trefoilrouter";
     for (const span &item : spans)
-        scope["spans"].append(spanJson(item));
+        scope["spans"].append(toJson(item));
     Json::Value resource(Json::objectValue);
     resource["resource"]["attributes"].append(attribute("service.name", "trefoilrouter"));
     resource["resource"]["attributes"].append(
--- a/libs/telemetry/tests/event_log_test.cpp
+++ b/libs/telemetry/tests/event_log_test.cpp
@@ -10,7 +10,7 @@
 
 namespace trefoil {
 
-TEST(EventLog, ALineIsOneJsonObjectWhateverItHolds)
+TEST(EventLog, EscapesFieldValuesAsJson)
 {
     const event_line line = event_line("proxy", "placed")
                                 .add("request", "a\"b\\c\nd")
@@ -22,11 +22,11 @@
               "\"expected_ms\":1.3,\"sent\":true");
 }
 
-TEST(EventLog, LinesOfOneEventAreBoundedAndCounted)
+TEST(EventLog, LimitsTheLinesOfAnEventAndCountsDroppedOnes)
 {
-    const int saved = ::dup(STDOUT_FILENO);
-    const int nowhere = ::open("/dev/null", O_WRONLY);
-    ASSERT_GE(::dup2(nowhere, STDOUT_FILENO), 0);
+    const int savedStdout = ::dup(STDOUT_FILENO);
+    const int devNull = ::open("/dev/null", O_WRONLY);
+    ASSERT_GE(::dup2(devNull, STDOUT_FILENO), 0);
     const std::uint64_t before = droppedEvents();
     startEventLog({.instance = "i", .linesPerSecond = 10});
     constexpr std::uint64_t written = 100;
@@ -34,36 +34,36 @@
         writeEvent(event_line("proxy", "often"));
     const std::uint64_t dropped = droppedEvents() - before;
     stopEventLog();
-    ::dup2(saved, STDOUT_FILENO);
+    ::dup2(savedStdout, STDOUT_FILENO);
     EXPECT_GE(dropped, written - 12);
     EXPECT_LE(dropped, written - 10);
 }
 
-TEST(EventLog, AReaderThatStopsReadingHoldsNobodyUp)
+TEST(EventLog, BlockedOutputDoesNotBlockWriters)
 {
     std::array<int, 2> pipe {};
     ASSERT_EQ(::pipe(pipe.data()), 0);
-    const int saved = ::dup(STDOUT_FILENO);
+    const int savedStdout = ::dup(STDOUT_FILENO);
     ASSERT_GE(::dup2(pipe[1], STDOUT_FILENO), 0);
     startEventLog({.instance = "i", .linesPerSecond = 1e9});
     const std::string padding(200, 'x');
     const timestamp start = boot_clock::now();
-    // Nobody reads the pipe: it holds 64 KB, the queue 4,096 lines.
+    // Nothing reads the pipe, which holds 64 KB; the queue holds 4,096 lines.
     for (int i = 0; i < 20000; ++i)
         writeEvent(event_line("proxy", "placed").add("padding", padding));
     EXPECT_LT(boot_clock::now() - start, std::chrono::seconds(5));
     const timestamp stop = boot_clock::now();
     std::jthread reader([&pipe, stop] {
-        // Reads again only after the stop has given up waiting.
+        // Starts reading only after stopEventLog() has given up waiting.
         std::this_thread::sleep_until(stop + std::chrono::milliseconds(900));
-        std::array<char, 65536> room {};
-        while (::read(pipe[0], room.data(), room.size()) > 0) {
+        std::array<char, 65536> received {};
+        while (::read(pipe[0], received.data(), received.size()) > 0) {
         }
     });
     stopEventLog();
     EXPECT_LT(boot_clock::now() - stop, std::chrono::milliseconds(850));
     std::this_thread::sleep_for(std::chrono::milliseconds(1500));
-    ::dup2(saved, STDOUT_FILENO);
+    ::dup2(savedStdout, STDOUT_FILENO);
     ::close(pipe[1]);
 }
 
--- a/libs/telemetry/tests/metrics_test.cpp
+++ b/libs/telemetry/tests/metrics_test.cpp
@@ -18,12 +18,12 @@
               "trefoil_streams -1\n");
 }
 
-TEST(Metrics, TimingEstimatesQuantiles)
+TEST(Metrics, SummaryEstimatesQuantiles)
 {
     metric_registry registry;
-    timing &time = registry.timingOf("t");
+    duration_summary &summary = registry.summaryOf("t");
     for (int i = 1; i <= 1000; ++i)
-        time.observe(std::chrono::milliseconds((i * 7919) % 1000 + 1));
+        summary.observe(std::chrono::milliseconds((i * 7919) % 1000 + 1));
     const std::string text = registry.write();
     const std::size_t at = text.find("quantile=\"0.5\"} ");
     ASSERT_NE(at, std::string::npos);
--- a/libs/telemetry/tests/span_test.cpp
+++ b/libs/telemetry/tests/span_test.cpp
@@ -14,7 +14,7 @@
     EXPECT_FALSE(parseTraceparent(std::string(55, '-')).has_value());
 }
 
-TEST(Span, OtlpCarriesParentAndAttributes)
+TEST(Span, OtlpJsonContainsParentAndAttributes)
 {
     const trace_context context {.traceId = {.high = 1, .low = 2}, .spanId = 3};
     const std::string json = toOtlpJson({{.context = context,
--- a/trefoilrouter/src/callers_handler.cpp
+++ b/trefoilrouter/src/callers_handler.cpp
@@ -262,9 +262,9 @@
         const route *target = nullptr;
         for (const std::pair<std::string, std::string> &parameter : uri.getQueryParameters()) {
             if (parameter.first == "model")
-                target = routes.byModel(parameter.second);
+                target = routes.findByModel(parameter.second);
             else if (parameter.first == "path")
-                target = routes.byPath(parameter.second);
+                target = routes.findByPath(parameter.second);
         }
         const bool isOpen = target && target->open;
         if (!isOpen && !authenticate(request, sink))
@@ -272,7 +272,7 @@
         double rates = 0;
         for (const team &each : routes.teams)
             rates += static_cast<double>(each.rate);
-        const team *own = routes.teamNamed(m_team);
+        const team *own = routes.findTeam(m_team);
         const double rate = own ? static_cast<double>(own->rate) : 0;
         const auto owner = m_snapshot->shardOwners.find(shardKey(m_team, m_snapshot->limitShards));
         const std::vector<member> order = entryOrder(
@@ -384,7 +384,7 @@
             return;
         }
         const configuration_view &configuration = *m_snapshot->configuration;
-        const route *target = configuration.routes.byModel(chat->model);
+        const route *target = configuration.routes.findByModel(chat->model);
         if (!target) {
             sink.refuse({.status = 404,
                          .code = "no-model",
@@ -427,7 +427,7 @@
     {
         if (!checkReady(sink))
             return;
-        const route *target = m_snapshot->configuration->routes.byPath(path);
+        const route *target = m_snapshot->configuration->routes.findByPath(path);
         if (!target) {
             sink.refuse({.status = 404,
                          .code = "no-route",
@@ -459,7 +459,7 @@
         next.begin.route = target.name;
         next.begin.pool = target.pool;
         next.begin.idempotent = target.idempotent;
-        next.target = m_snapshot->configuration->pools.poolNamed(target.pool);
+        next.target = m_snapshot->configuration->pools.findPool(target.pool);
         next.headers = passedHeaders(request);
         next.trace = m_trace;
         return next;
--- a/trefoilrouter/src/edge/request_log.cpp
+++ b/trefoilrouter/src/edge/request_log.cpp
@@ -62,7 +62,7 @@
         .counterOf("trefoil_requests_total",
                    "route=\"" + route + "\",status=\"" + std::to_string(status) + "\"")
         .add();
-    metrics.timingOf("trefoil_request_seconds", "route=\"" + route + "\"").observe(taken);
+    metrics.summaryOf("trefoil_request_seconds", "route=\"" + route + "\"").observe(taken);
     writeEvent(event_line("proxy", "ended")
                    .add("request", m_fields.requestId)
                    .add("route", route)
--- a/trefoilrouter/src/proxy.cpp
+++ b/trefoilrouter/src/proxy.cpp
@@ -279,7 +279,7 @@
         report.cachedTokens = std::strtod(cached.c_str(), nullptr);
     m_parts.control.firstToken(report);
     if (!m_timed)
-        m_parts.metrics.timingOf("trefoil_first_token_seconds")
+        m_parts.metrics.summaryOf("trefoil_first_token_seconds")
             .observe(boot_clock::now() - m_startedAt);
     m_timed = true;
     if (m_request.isModel && report.cachedTokens >= 0) {
--- a/trefoilrouter/src/verb_apply.cpp
+++ b/trefoilrouter/src/verb_apply.cpp
@@ -69,9 +69,9 @@
         const bool missesPools = options.poolsFile.empty() && pools->version > 0 && otherPools;
         findings dangling;
         if (missesRoutes && tables.pools)
-            dangling = checkJoin(*otherRoutes, *tables.pools, options.poolsFile);
+            dangling = checkPoolReferences(*otherRoutes, *tables.pools, options.poolsFile);
         if (missesPools && tables.routes)
-            dangling = checkJoin(*tables.routes, *otherPools, options.routesFile);
+            dangling = checkPoolReferences(*tables.routes, *otherPools, options.routesFile);
         tables.found.insert(tables.found.end(), dangling.begin(), dangling.end());
     }
     if (!tables.found.empty()) {
--- a/trefoilrouter/src/verb_edge.cpp
+++ b/trefoilrouter/src/verb_edge.cpp
@@ -38,7 +38,7 @@
     sigaddset(&signals, SIGHUP);
     pthread_sigmask(SIG_BLOCK, &signals, nullptr);
     std::signal(SIGPIPE, SIG_IGN);
-    startLog({.least = log_level::Info, .asJson = true, .instance = settings->name});
+    startLog({.minLevel = log_level::Info, .asJson = true, .instance = settings->name});
     startEventLog({.instance = settings->name});
     edge_instance instance(*settings);
     const result<void> outcome = instance.run(signals);
--- a/trefoilrouter/src/verb_files.cpp
+++ b/trefoilrouter/src/verb_files.cpp
@@ -47,7 +47,7 @@
     if (!poolsFile.empty())
         tables.pools = readTable(poolsFile, tables.poolsText, tables.found, readPools);
     if (tables.routes && tables.pools) {
-        const findings dangling = checkJoin(*tables.routes, *tables.pools, routesFile);
+        const findings dangling = checkPoolReferences(*tables.routes, *tables.pools, routesFile);
         tables.found.insert(tables.found.end(), dangling.begin(), dangling.end());
     }
     return tables;
--- a/trefoilrouter/src/verb_keys.cpp
+++ b/trefoilrouter/src/verb_keys.cpp
@@ -70,7 +70,7 @@
     const result<object> routes = platform.get(config_names::routes);
     const tl::expected<route_table, findings> table =
         readRoutes(routes ? routes->value : std::string(), config_names::routes);
-    if (!routes || !table || !table->teamNamed(options.team)) {
+    if (!routes || !table || !table->findTeam(options.team)) {
         std::cerr << "keys issue: team \"" << options.team
                   << "\" does not exist in the routes table\n";
         return ExitFailed;
--- a/trefoilrouter/src/verb_serve.cpp
+++ b/trefoilrouter/src/verb_serve.cpp
@@ -45,7 +45,7 @@
         std::cerr << toString(read.error());
         return ExitUsage;
     }
-    startLog({.least = logLevelNamed(read->logLevel),
+    startLog({.minLevel = parseLogLevel(read->logLevel),
               .asJson = read->logAsJson,
               .instance = read->name});
     // Blocked in every thread, so that only the one below takes them.
