--- a/libs/control/benchmarks/bench_capacity.cpp
+++ b/libs/control/benchmarks/bench_capacity.cpp
@@ -10,7 +10,7 @@
 #include <span>
 
 #include <core/json.h>
-#include <core/report.h>
+#include <core/text_table.h>
 #include <limits/token_bucket.h>
 #include <routing/placement.h>
 
@@ -30,7 +30,7 @@
 
     /// Appends a row with the least-squares line and the growth exponent between the smallest and
     /// the largest size: above 1 the cost grows faster than linearly.
-    void addTo(report_table &table) const
+    void addTo(text_table &table) const
     {
         double sumX = 0;
         double sumY = 0;
@@ -64,9 +64,9 @@
     return all;
 }
 
-report_table costCurvesTable()
+text_table costCurvesTable()
 {
-    report_table table("slopes", {"cost", "unit", "base", "for each more", "exponent"});
+    text_table table("slopes", {"cost", "unit", "base", "for each more", "exponent"});
     for (const cost_curve &each : costCurves())
         each.addTo(table);
     return table;
@@ -102,12 +102,12 @@
 }
 
 /// Measures the steady state and one configuration change for growing numbers of instances.
-report_table benchInstances()
+text_table benchInstances()
 {
-    report_table table("control of a node as instances grow (100 teams, 10 backend servers)",
-                       {"instances", "messages/s", "KB/s", "% of a core", "platform reads/s",
-                        "writes/s", "watches/s", "change in force everywhere s",
-                        "KB a node a change", "heap MB a node", "allocations/s"});
+    text_table table("control of a node as instances grow (100 teams, 10 backend servers)",
+                     {"instances", "messages/s", "KB/s", "% of a core", "platform reads/s",
+                      "writes/s", "watches/s", "change in force everywhere s", "KB a node a change",
+                      "heap MB a node", "allocations/s"});
     cost_curve cpuCurve("processor of a node, by instances", "% of a core");
     cost_curve byteCurve("steady bytes of a node, by instances", "KB/s");
     cost_curve changeCurve("bytes of a node for a change, by instances", "KB");
@@ -179,11 +179,11 @@
     return table;
 }
 
-report_table benchTeams()
+text_table benchTeams()
 {
-    report_table table("an instance as teams grow",
-                       {"teams", "routes table KB", "time to check and take it ms", "heap KB",
-                        "heap bytes a team"});
+    text_table table("an instance as teams grow",
+                     {"teams", "routes table KB", "time to check and take it ms", "heap KB",
+                      "heap bytes a team"});
     cost_curve parseCurve("checking and taking the routes table, by teams", "ms");
     cost_curve heapCurve("heap, by teams", "KB");
     for (const int teams : {27, 270, 2700}) {
@@ -211,9 +211,9 @@
     return table;
 }
 
-report_table benchBackendServers()
+text_table benchBackendServers()
 {
-    report_table table(
+    text_table table(
         "placement as backend servers grow (prompts of 10 blocks)",
         {"backend servers", "choose us", "allocations", "heap KB", "heap bytes a server"});
     cost_curve chooseCurve("choosing a backend server, by servers of the pool", "us");
@@ -253,10 +253,10 @@
     return table;
 }
 
-report_table benchCacheBlocks()
+text_table benchCacheBlocks()
 {
-    report_table table("belief about caches as blocks grow",
-                       {"blocks", "event ns", "heap KB", "heap bytes a block"});
+    text_table table("belief about caches as blocks grow",
+                     {"blocks", "event ns", "heap KB", "heap bytes a block"});
     cost_curve beliefCurve("heap of belief, by blocks", "KB");
     for (const int blocks : {1000, 10000, 100000}) {
         std::vector<digest128> digests;
@@ -279,10 +279,10 @@
     return table;
 }
 
-report_table benchLimitOwner()
+text_table benchLimitOwner()
 {
-    report_table table("limit owner as open requests of a team grow",
-                       {"open requests", "reserve and settle us", "heap bytes a request"});
+    text_table table("limit owner as open requests of a team grow",
+                     {"open requests", "reserve and settle us", "heap bytes a request"});
     cost_curve settleCurve("reserving and settling, by open requests of a team", "us");
     for (const int open : {100, 1000, 10000}) {
         const double before = heapBytes();
@@ -308,10 +308,10 @@
     return table;
 }
 
-report_table benchConfigurationChanges()
+text_table benchConfigurationChanges()
 {
-    report_table table("changes of configuration in a minute (33 instances, 100 teams)",
-                       {"changes", "KB/s a node", "% of a core", "platform reads/s"});
+    text_table table("changes of configuration in a minute (33 instances, 100 teams)",
+                     {"changes", "KB/s a node", "% of a core", "platform reads/s"});
     cost_curve byteCurve("bytes of a node, by changes in a minute at 33 instances", "KB/s");
     cost_curve cpuCurve("processor of a node, by changes in a minute at 33 instances",
                         "% of a core");
@@ -344,9 +344,9 @@
     return table;
 }
 
-report_table benchMessageSizes()
+text_table benchMessageSizes()
 {
-    report_table table("messages as encoded", {"message", "bytes"});
+    text_table table("messages as encoded", {"message", "bytes"});
     const auto size = [](const auto &message) {
         return std::to_string(writeJson(toJson(message)).size());
     };
@@ -387,9 +387,9 @@
 /// Measures the costs of the control library with its real state machines and codecs.
 int main(int argc, char **argv)
 {
-    std::vector<report_table> tables {
+    std::vector<text_table> tables {
         benchInstances(),   benchConfigurationChanges(), benchTeams(),       benchBackendServers(),
         benchCacheBlocks(), benchLimitOwner(),           benchMessageSizes()};
     tables.push_back(costCurvesTable());
-    return report(tables, argc, argv);
+    return writeTables(tables, argc, argv);
 }
--- a/libs/control/include/control/platform_read_scheduler.h
+++ b/libs/control/include/control/platform_read_scheduler.h
@@ -73,10 +73,10 @@
     /// Returns the reads that are due and marks them as in flight. @p isWatcher: whether this
     /// instance watches the configuration.
     std::vector<due_read> tick(timestamp now, bool isWatcher);
-    /// Handles the end of a read. @p prefix is empty for the list of instances; @p upTo is the
-    /// newest object version that the read covers.
+    /// Handles the end of a read. @p prefix is empty for the list of instances; @p upToVersion is
+    /// the newest object version that the read covers.
     void onDone(timestamp now, read_kind kind, const std::string &prefix, bool success,
-                std::uint64_t upTo);
+                std::uint64_t upToVersion);
     /// Records that a call to the platform succeeded at @p now.
     void recordSuccess(timestamp now) { m_lastSuccess = now; }
 
--- a/libs/control/src/configuration_store.cpp
+++ b/libs/control/src/configuration_store.cpp
@@ -150,7 +150,7 @@
     // The tables arrive independently. An unresolved reference between them is reported and the
     // requests that need it are refused, but neither table waits for the other.
     if (m_routes && m_pools) {
-        const findings unresolved = checkJoin(*m_routes, *m_pools, config_names::routes);
+        const findings unresolved = checkPoolReferences(*m_routes, *m_pools, config_names::routes);
         m_rejectionFindings.insert(m_rejectionFindings.end(), unresolved.begin(), unresolved.end());
     }
     m_snapshot = std::make_shared<const configuration_snapshot>(std::move(next));
--- a/libs/control/src/control_node.cpp
+++ b/libs/control/src/control_node.cpp
@@ -343,7 +343,7 @@
     for (const std::pair<const request_coordinator::outcome_key, outcome_counts> &each :
          m_requestCoordinator.localOutcomes()) {
         // Other instances need these outcomes only to judge a rollout.
-        const pool *table = m_activeConfiguration->pools.poolNamed(each.first.pool);
+        const pool *table = m_activeConfiguration->pools.findPool(each.first.pool);
         outcome_counts &published = m_publishedOutcomes[each.first];
         if (!table || !table->rollout || published == each.second)
             continue;
@@ -639,21 +639,21 @@
                                    const platform_answer &answer)
 {
     bool success = false;
-    std::uint64_t upTo = 0;
+    std::uint64_t upToVersion = 0;
     if (const result<std::vector<object>> *listed =
             std::get_if<result<std::vector<object>>>(&answer)) {
         success = listed->has_value();
         if (success) {
             applyObjects(now, **listed);
             for (const object &item : **listed)
-                upTo = std::max(upTo, item.version);
+                upToVersion = std::max(upToVersion, item.version);
         }
     } else if (const result<object_changes> *watched =
                    std::get_if<result<object_changes>>(&answer)) {
         success = watched->has_value();
         if (success) {
             applyObjects(now, (*watched)->changed);
-            upTo = (*watched)->upTo;
+            upToVersion = (*watched)->upToVersion;
         }
     } else if (const result<std::vector<listed_instance>> *instances =
                    std::get_if<result<std::vector<listed_instance>>>(&answer)) {
@@ -664,7 +664,7 @@
                 m_listedInstances.push_back(each.name);
         }
     }
-    m_platformReads.onDone(now, context.kind, context.prefix, success, upTo);
+    m_platformReads.onDone(now, context.kind, context.prefix, success, upToVersion);
     if (!success || context.kind != platform_read_scheduler::read_kind::Objects)
         return;
     // A lease that is missing in the list has no record yet.
--- a/libs/control/src/platform_read_scheduler.cpp
+++ b/libs/control/src/platform_read_scheduler.cpp
@@ -61,13 +61,13 @@
 }
 
 void platform_read_scheduler::onDone(timestamp now, read_kind kind, const std::string &prefix,
-                                     bool success, std::uint64_t upTo)
+                                     bool success, std::uint64_t upToVersion)
 {
     if (success)
         recordSuccess(now);
     if (kind == read_kind::Watch) {
         m_watchInFlight = false;
-        m_watchFrom = std::max(m_watchFrom, upTo);
+        m_watchFrom = std::max(m_watchFrom, upToVersion);
         m_nextWatch = success ? now : now + initialBackoff + m_jitter / 4;
         return;
     }
@@ -84,7 +84,7 @@
             state.loaded = true;
             state.backoff = initialBackoff;
             state.nextRead = now + resyncPeriod + m_jitter;
-            m_watchFrom = std::max(m_watchFrom, &state == &m_prefixes.front() ? upTo : 0);
+            m_watchFrom = std::max(m_watchFrom, &state == &m_prefixes.front() ? upToVersion : 0);
         } else {
             state.nextRead = now + state.backoff + m_jitter / 4;
             state.backoff = std::min(state.backoff * 2, maxBackoff);
--- a/libs/control/src/request_coordinator.cpp
+++ b/libs/control/src/request_coordinator.cpp
@@ -58,7 +58,7 @@
                             .burst = static_cast<double>(each.burst)};
     m_limits.setTeams(now, teams);
     std::erase_if(m_pools,
-                  [&](const auto &each) { return !m_configuration->pools.poolNamed(each.first); });
+                  [&](const auto &each) { return !m_configuration->pools.findPool(each.first); });
     for (const pool &each : m_configuration->pools.pools) {
         if (!m_pools.contains(each.name))
             m_pools.emplace(each.name, placement({.randomSeed = m_randomSeed}));
@@ -68,7 +68,7 @@
 
 void request_coordinator::updateServers(const std::string &poolName)
 {
-    const pool *table = m_configuration->pools.poolNamed(poolName);
+    const pool *table = m_configuration->pools.findPool(poolName);
     const auto found = m_pools.find(poolName);
     if (!table || found == m_pools.end())
         return;
@@ -383,7 +383,7 @@
                 .retryAfter = defaultRetryAfter});
         return;
     }
-    const struct pool *table = m_configuration->pools.poolNamed(state.request.pool);
+    const struct pool *table = m_configuration->pools.findPool(state.request.pool);
     const auto server =
         std::find_if(table->servers.begin(), table->servers.end(),
                      [&](const backend_server &s) { return s.name == choice->server; });
--- a/libs/control/src/rollout_coordinator.cpp
+++ b/libs/control/src/rollout_coordinator.cpp
@@ -33,7 +33,7 @@
 {
     m_configuration = std::move(configuration);
     std::erase_if(m_drivers, [&](const auto &each) {
-        const pool *table = m_configuration->pools.poolNamed(each.first);
+        const pool *table = m_configuration->pools.findPool(each.first);
         return !table || !table->rollout || table->rollout->from != each.second.driver.record().from
             || table->rollout->to != each.second.driver.record().to;
     });
--- a/libs/rollout/benchmarks/bench_rollout.cpp
+++ b/libs/rollout/benchmarks/bench_rollout.cpp
@@ -1,6 +1,6 @@
 #include "rollout_simulation.h"
 
-#include <core/report.h>
+#include <core/text_table.h>
 
 using namespace trefoil;
 
@@ -46,10 +46,10 @@
 int main(int argc, char **argv)
 {
     constexpr int runs = 100;
-    report_table table("rollouts of 60 s, 18 workers, 100 requests/s, 100 seeds",
-                       {"version", "done in time", "rolled back", "max share before rollback %",
-                        "requests after rollback", "max parallel loads", "baseline: done in time",
-                        "baseline: traffic to the version %"});
+    text_table table("rollouts of 60 s, 18 workers, 100 requests/s, 100 seeds",
+                     {"version", "done in time", "rolled back", "max share before rollback %",
+                      "requests after rollback", "max parallel loads", "baseline: done in time",
+                      "baseline: traffic to the version %"});
     for (const benchmark_version &version : benchmarkVersions()) {
         int done = 0;
         int rolledBack = 0;
@@ -74,5 +74,5 @@
                    formatNumber(requestsAfterRollback, 0), std::to_string(maxParallelLoads),
                    std::to_string(baselineDone), formatNumber(baselineShare * 100, 1)});
     }
-    return report({table}, argc, argv);
+    return writeTables({table}, argc, argv);
 }
--- a/libs/routing/benchmarks/bench_routing.cpp
+++ b/libs/routing/benchmarks/bench_routing.cpp
@@ -2,7 +2,7 @@
 
 #include <array>
 
-#include <core/report.h>
+#include <core/text_table.h>
 
 using namespace trefoil;
 
@@ -23,11 +23,11 @@
          {routing_strategy::PlacementWithoutRendezvousPrior, "placement without rendezvous prior"},
          {routing_strategy::Placement, "placement"},
          {routing_strategy::Oracle, "oracle"}}};
-    std::vector<report_table> tables;
+    std::vector<text_table> tables;
     for (const routing_scenario &scenario : routingScenarios()) {
-        report_table table(scenario.name,
-                           {"strategy", "hit rate %", "first token p50 ms", "first token p99 ms",
-                            "avoidable recomputation %", "requests"});
+        text_table table(scenario.name,
+                         {"strategy", "hit rate %", "first token p50 ms", "first token p99 ms",
+                          "avoidable recomputation %", "requests"});
         for (const named_strategy &each : strategies) {
             const routing_results results = routing_simulation(each.strategy, scenario, 1).run();
             table.add({each.name, formatNumber(results.hitRate * 100, 1),
@@ -38,5 +38,5 @@
         }
         tables.push_back(table);
     }
-    return report(tables, argc, argv);
+    return writeTables(tables, argc, argv);
 }
--- a/trefoilrouter/src/callers_handler.cpp
+++ b/trefoilrouter/src/callers_handler.cpp
@@ -266,9 +266,9 @@
         const route *target = nullptr;
         for (const std::pair<std::string, std::string> &parameter : uri.getQueryParameters()) {
             if (parameter.first == "model")
-                target = routes.byModel(parameter.second);
+                target = routes.findByModel(parameter.second);
             else if (parameter.first == "path")
-                target = routes.byPath(parameter.second);
+                target = routes.findByPath(parameter.second);
         }
         const bool isOpen = target && target->open;
         if (!isOpen && !authenticate(request, writer))
@@ -276,7 +276,7 @@
         double totalRate = 0;
         for (const team &each : routes.teams)
             totalRate += static_cast<double>(each.rate);
-        const team *ownTeam = routes.teamNamed(m_team);
+        const team *ownTeam = routes.findTeam(m_team);
         const double rate = ownTeam ? static_cast<double>(ownTeam->rate) : 0;
         const auto owner = m_snapshot->shardOwners.find(shardKey(m_team, m_snapshot->limitShards));
         const std::vector<member> order = rankEntryInstances(
@@ -392,7 +392,7 @@
             return;
         }
         const configuration_snapshot &configuration = *m_snapshot->configuration;
-        const route *target = configuration.routes.byModel(chat->model);
+        const route *target = configuration.routes.findByModel(chat->model);
         if (!target) {
             writer.refuse({.status = 404,
                            .code = "no-model",
@@ -439,7 +439,7 @@
     {
         if (!checkReady(writer))
             return;
-        const route *target = m_snapshot->configuration->routes.byPath(path);
+        const route *target = m_snapshot->configuration->routes.findByPath(path);
         if (!target) {
             writer.refuse({.status = 404,
                            .code = "no-route",
@@ -472,7 +472,7 @@
         forwarded.incoming.route = target.name;
         forwarded.incoming.pool = target.pool;
         forwarded.incoming.idempotent = target.idempotent;
-        forwarded.targetPool = m_snapshot->configuration->pools.poolNamed(target.pool);
+        forwarded.targetPool = m_snapshot->configuration->pools.findPool(target.pool);
         forwarded.headers = forwardedHeaders(request);
         forwarded.trace = m_trace;
         return forwarded;
--- a/trefoilrouter/src/edge/edge_state.h
+++ b/trefoilrouter/src/edge/edge_state.h
@@ -104,7 +104,7 @@
     {
         with([now](routing_state &routing) {
             routing.storeAnsweredAt = now;
-            routing.storeOutage.noteHeard(now);
+            routing.storeOutage.recordContact(now);
         });
     }
     /// Returns whether the store answers.
--- a/trefoilrouter/src/edge/peer_exchange.cpp
+++ b/trefoilrouter/src/edge/peer_exchange.cpp
@@ -202,7 +202,7 @@
 void peer_exchange::applyServers(timestamp now, const peer_report &report, routing_state &routing)
 {
     if (report.storeHeardAgoMs)
-        routing.storeOutage.noteHeard(now - std::chrono::milliseconds(*report.storeHeardAgoMs));
+        routing.storeOutage.recordContact(now - std::chrono::milliseconds(*report.storeHeardAgoMs));
     for (auto it = report.storeEpochs.begin(); it != report.storeEpochs.end(); ++it)
         routing.balancer.setStoreEpoch(it->first, it->second);
     routing.balancer.setPeerLoad(now, report.from, report.load);
--- a/trefoilrouter/src/edge/store_watch.cpp
+++ b/trefoilrouter/src/edge/store_watch.cpp
@@ -96,14 +96,14 @@
     {
         const std::lock_guard<std::mutex> lock(m_mutex);
         const watched_kind &watched = m_kinds.find(kind)->second;
-        from = watched.mirror.upTo();
+        from = watched.mirror.upToVersion();
         waitTime = watched.waitTime;
         freshReaders = watched.freshReaders;
     }
     // In a large fleet only a few instances read the newest state: reports tell the others when
     // they are behind.
     const bool isFresh = fleet.rank < freshReaders;
-    const read_freshness freshness = isFresh ? read_freshness::Newest : read_freshness::MayBeOld;
+    const read_freshness freshness = isFresh ? read_freshness::Newest : read_freshness::MayBeStale;
     waitTime = isFresh ? waitTime : waitTime * staleWatchTimeFactor;
     const result<object_changes> answer =
         needsSnapshot ? m_store.snapshot(kind) : m_store.watch(kind, from, waitTime, freshness);
@@ -129,8 +129,8 @@
         object_mirror &mirror = watched.mirror;
         const timestamp lapseEnd = outageEnd + watched.reregistrationTime;
         hasChanged = needsSnapshot
-            ? mirror.takeSnapshot(now, answer->changed, answer->upTo, lapseEnd)
-            : mirror.takeChanges(now, answer->changed, answer->upTo, lapseEnd);
+            ? mirror.applySnapshot(now, answer->changed, answer->upToVersion, lapseEnd)
+            : mirror.applyChanges(now, answer->changed, answer->upToVersion, lapseEnd);
         hasChanged = mirror.dropLapsed(now) || hasChanged;
     }
     const bool hadChanges = !needsSnapshot && !answer->changed.empty();
@@ -252,7 +252,7 @@
 {
     const std::lock_guard<std::mutex> lock(m_mutex);
     const watched_kind &watched = m_kinds.find(store_kinds::instances)->second;
-    return watched.isReachable && watched.mirror.upTo() > 0
+    return watched.isReachable && watched.mirror.upToVersion() > 0
         && !watched.mirror.objects().contains(store_kinds::instances + name);
 }
 
@@ -263,7 +263,7 @@
     const auto watched = m_kinds.find(kind);
     if (watched == m_kinds.end())
         return writeJson(copy);
-    copy["up_to"] = Json::UInt64(watched->second.mirror.upTo());
+    copy["up_to"] = Json::UInt64(watched->second.mirror.upToVersion());
     copy["newest_change"] = Json::UInt64(watched->second.mirror.newestChange());
     Json::Value list(Json::arrayValue);
     const std::map<std::string, object, std::less<>> &objects = watched->second.mirror.objects();
@@ -298,8 +298,8 @@
     {
         const std::lock_guard<std::mutex> lock(m_mutex);
         object_mirror &mirror = m_kinds.find(kind)->second.mirror;
-        hasChanged = mirror.takeSnapshot(boot_clock::now(), objects, integerOr(*copy, "up_to"));
-        mirror.noteNewestChange(integerOr(*copy, "newest_change"));
+        hasChanged = mirror.applySnapshot(boot_clock::now(), objects, integerOr(*copy, "up_to"));
+        mirror.recordNewestChange(integerOr(*copy, "newest_change"));
     }
     writeEvent(event_line("store", "copy_fetched").add("kind", kind).add("changed", hasChanged));
     if (hasChanged)
--- a/trefoilrouter/src/http_object_store.cpp
+++ b/trefoilrouter/src/http_object_store.cpp
@@ -93,7 +93,7 @@
     if (!response)
         return tl::unexpected(response.error());
     return object_changes {.changed = parseObjects((*response)["changed"]),
-                           .upTo = integerOr(*response, "up_to", from)};
+                           .upToVersion = integerOr(*response, "up_to", from)};
 }
 
 result<std::vector<listed_instance>> http_object_store::instances()
--- a/trefoilrouter/src/proxy.cpp
+++ b/trefoilrouter/src/proxy.cpp
@@ -284,7 +284,7 @@
         report.cachedTokens = std::strtod(cachedTokens.c_str(), nullptr);
     m_context.control.reportFirstToken(report);
     if (!m_firstTokenTimed)
-        m_context.metrics.timingOf("trefoil_first_token_seconds")
+        m_context.metrics.summaryOf("trefoil_first_token_seconds")
             .observe(boot_clock::now() - m_startedAt);
     m_firstTokenTimed = true;
     if (m_request.isModel && report.cachedTokens >= 0) {
--- a/trefoilrouter/src/table_files.cpp
+++ b/trefoilrouter/src/table_files.cpp
@@ -47,7 +47,8 @@
     if (!poolsFile.empty())
         tables.pools = readTable(poolsFile, tables.poolsText, tables.found, readPools);
     if (tables.routes && tables.pools) {
-        const findings danglingReferences = checkJoin(*tables.routes, *tables.pools, routesFile);
+        const findings danglingReferences =
+            checkPoolReferences(*tables.routes, *tables.pools, routesFile);
         tables.found.insert(tables.found.end(), danglingReferences.begin(),
                             danglingReferences.end());
     }
--- a/trefoilrouter/src/verb_apply.cpp
+++ b/trefoilrouter/src/verb_apply.cpp
@@ -70,9 +70,11 @@
         const bool usesStoredPools = options.poolsFile.empty() && pools->version > 0 && storedPools;
         findings danglingReferences;
         if (usesStoredRoutes && tables.pools)
-            danglingReferences = checkJoin(*storedRoutes, *tables.pools, options.poolsFile);
+            danglingReferences =
+                checkPoolReferences(*storedRoutes, *tables.pools, options.poolsFile);
         if (usesStoredPools && tables.routes)
-            danglingReferences = checkJoin(*tables.routes, *storedPools, options.routesFile);
+            danglingReferences =
+                checkPoolReferences(*tables.routes, *storedPools, options.routesFile);
         tables.found.insert(tables.found.end(), danglingReferences.begin(),
                             danglingReferences.end());
     }
--- a/trefoilrouter/src/verb_keys.cpp
+++ b/trefoilrouter/src/verb_keys.cpp
@@ -6,7 +6,7 @@
 
 #include <control/configuration_store.h>
 #include <core/json.h>
-#include <core/report.h>
+#include <core/text_table.h>
 
 #include "http_object_store.h"
 
@@ -70,7 +70,7 @@
     const result<object> routes = platform.get(config_names::routes);
     const tl::expected<route_table, findings> table =
         readRoutes(routes ? routes->value : std::string(), config_names::routes);
-    if (!routes || !table || !table->teamNamed(options.team)) {
+    if (!routes || !table || !table->findTeam(options.team)) {
         std::cerr << "keys issue: team \"" << options.team
                   << "\" does not exist in the routes table\n";
         return ExitFailed;
@@ -99,7 +99,7 @@
         std::cerr << "keys list: " << objects.error().message << "\n";
         return ExitFailed;
     }
-    report_table table("keys", {"digest", "team", "name"});
+    text_table table("keys", {"digest", "team", "name"});
     Json::Value json(Json::arrayValue);
     for (const object &item : *objects) {
         const result<std::vector<key_entry>> keys = keysFromText(item.value);
