--- a/trefoilrouter/src/backend_client.cpp
+++ b/trefoilrouter/src/backend_client.cpp
@@ -42,8 +42,8 @@
 {
     const timestamp deadline = boot_clock::now() + probeTimeout;
     for (timestamp now = boot_clock::now(); now < deadline; now = boot_clock::now()) {
-        const result<http_response> response =
-            httpCallOnce(address, {.method = "OPTIONS", .path = "*"}, deadline - now);
+        const result<http_response> response = sendHttpRequestOnNewConnection(
+            address, {.method = "OPTIONS", .path = "*"}, deadline - now);
         if (response || response.error().code == http_errors::unreachable)
             return false;
         if (response.error().code == http_errors::refused)
@@ -196,15 +196,16 @@
     }
     setTimeouts(*session, stateTimeout, stateTimeout);
     const result<http_response> response =
-        httpCall(*session,
-                 {.path = "/state?from=" + std::to_string(poll.fromSequence),
-                  .headers = authorizationHeaders(poll.credential)});
+        sendHttpRequest(*session,
+                        {.path = "/state?from=" + std::to_string(poll.fromSequence),
+                         .headers = authorizationHeaders(poll.credential)});
     if (!response)
         return tl::unexpected(response.error());
     returnSession(poll.address, std::move(session));
     const result<Json::Value> value = parseJson(response->body, "an engine's state");
     if (!value || !value->isObject())
-        return failure("bad-state", "engine \"" + poll.server + "\" returned a malformed state");
+        return failure("bad-state",
+                       "backend server \"" + poll.server + "\" returned a malformed state");
     server_state_report report;
     report.version = textOr(*value, "version");
     report.load = {.incarnation = integerOr(*value, "incarnation"),
@@ -220,18 +221,18 @@
     return report;
 }
 
-result<void> backend_client::orderLoad(const server_order &order)
+result<void> backend_client::sendLoadOrder(const server_order &order)
 {
     Json::Value body(Json::objectValue);
     body["version"] = order.order.version;
     body["epoch"] = Json::UInt64(order.order.epoch);
     const result<http_response> response =
-        httpCallOnce(order.address,
-                     {.method = "POST",
-                      .path = "/orders/load",
-                      .body = writeJson(body),
-                      .headers = authorizationHeaders(order.credential)},
-                     orderTimeout);
+        sendHttpRequestOnNewConnection(order.address,
+                                       {.method = "POST",
+                                        .path = "/orders/load",
+                                        .body = writeJson(body),
+                                        .headers = authorizationHeaders(order.credential)},
+                                       orderTimeout);
     if (!response)
         return tl::unexpected(response.error());
     if (response->status == HTTPResponse::HTTP_CONFLICT)
@@ -251,12 +252,12 @@
 {
     Json::Value body(Json::objectValue);
     body["attempt"] = attempt;
-    static_cast<void>(httpCallOnce(address,
-                                   {.method = "POST",
-                                    .path = "/cancel",
-                                    .body = writeJson(body),
-                                    .headers = authorizationHeaders(credential)},
-                                   cancelTimeout));
+    static_cast<void>(sendHttpRequestOnNewConnection(address,
+                                                     {.method = "POST",
+                                                      .path = "/cancel",
+                                                      .body = writeJson(body),
+                                                      .headers = authorizationHeaders(credential)},
+                                                     cancelTimeout));
 }
 
 } // namespace trefoil
--- a/trefoilrouter/src/backend_client.h
+++ b/trefoilrouter/src/backend_client.h
@@ -35,7 +35,7 @@
     std::function<bool()> isCallerGone;
 };
 
-/// Error codes of backend_exchange::start().
+/// Error codes of backend_exchange.
 namespace backend_errors {
 /// The connection could not be established: nothing was sent.
 inline constexpr const char *notSent = "not-sent";
@@ -84,8 +84,8 @@
     bool m_isReusable = false;
 };
 
-/// Pool of connections to backend servers, and client of the engines' control protocol: state,
-/// load orders and cancellation. Thread-safe.
+/// Pool of connections to backend servers, and client of the control protocol of engines, the
+/// backend servers that run models: state, load orders and cancellation. Thread-safe.
 class backend_client
 {
 public:
@@ -97,7 +97,7 @@
     result<server_state_report> readState(const server_poll &poll);
     /// Orders an engine to load a version. Errors: "stale-epoch" if the engine rejected the fencing
     /// token as outdated, "refused" for any other error status, and those of http_errors.
-    result<void> orderLoad(const server_order &order);
+    result<void> sendLoadOrder(const server_order &order);
     /// Asks an engine to cancel attempt @p attempt. Best effort: errors are ignored.
     void cancel(const endpoint &address, const std::string &credential, const std::string &attempt);
 
--- a/trefoilrouter/src/callers_handler.cpp
+++ b/trefoilrouter/src/callers_handler.cpp
@@ -186,11 +186,11 @@
         if (path == "/v1/entry")
             serveEntry(request, uri, writer);
         else if (path == "/v1/models")
-            serveModels(request, writer);
+            serveModelList(request, writer);
         else if (path == "/v1/chat/completions" || path == "/v1/completions")
-            serveModel(request, path, writer);
+            serveModelRequest(request, path, writer);
         else
-            servePath(request, path, writer);
+            servePathRequest(request, path, writer);
         if (m_context.spans.isEnabled())
             m_context.spans.add({.context = m_trace,
                                  .parentSpanId = parent ? parent->spanId : 0,
@@ -200,8 +200,9 @@
                                  .attributes = {{"team", m_team}}});
     }
 
-    /// Sets m_team to the team of the caller's key. Refuses the request and returns false if the
-    /// key is missing or invalid, or its validity can't be verified at the moment.
+    /// Sets m_keyDigest to the digest of the caller's key and m_team to its team. Refuses the
+    /// request and returns false if the key is missing or invalid, or its validity can't be
+    /// verified at the moment.
     bool authenticate(const Poco::Net::HTTPServerRequest &request, http_response_writer &writer)
     {
         const std::string header = request.get("Authorization", "");
@@ -298,7 +299,7 @@
         writer.sendResponse(200, "application/json", writeJson(response));
     }
 
-    void serveModels(Poco::Net::HTTPServerRequest &request, http_response_writer &writer)
+    void serveModelList(Poco::Net::HTTPServerRequest &request, http_response_writer &writer)
     {
         if (!checkReady(writer) || !authenticate(request, writer))
             return;
@@ -320,29 +321,29 @@
     }
 
     /// Reads the request body into m_body. Refuses the request and returns false if the body is too
-    /// long, incomplete or too slow.
+    /// long or, with a Content-Length, incomplete or too slow.
     bool readCallerBody(Poco::Net::HTTPServerRequest &request, http_response_writer &writer)
     {
         const std::size_t maxBytes = static_cast<std::size_t>(m_settings.maxBodyBytes);
         const bool isTooLong =
             request.hasContentLength() && request.getContentLength64() > m_settings.maxBodyBytes;
-        bool isComplete = !isTooLong;
-        if (isComplete && request.hasContentLength()) {
+        bool isWithinLimit = !isTooLong;
+        if (isWithinLimit && request.hasContentLength()) {
             const std::size_t length = static_cast<std::size_t>(request.getContentLength64());
             m_body.reserve(length + requestPadding);
             m_body.resize(length);
             if (!readBodyOfLength(request.stream(), writer))
                 return false;
-        } else if (isComplete) {
-            isComplete = readBody(request.stream(), maxBytes, m_body);
+        } else if (isWithinLimit) {
+            isWithinLimit = readBody(request.stream(), maxBytes, m_body);
             m_body.reserve(m_body.size() + requestPadding);
         }
-        if (!isComplete)
+        if (!isWithinLimit)
             writer.refuse({.status = 413,
                            .code = "body-too-long",
                            .message = "the body is longer than "
                                + std::to_string(m_settings.maxBodyBytes) + " bytes"});
-        return isComplete;
+        return isWithinLimit;
     }
 
     /// Fills m_body from @p input. Refuses the request and returns false if the body ends early or
@@ -380,8 +381,8 @@
         return headers;
     }
 
-    void serveModel(Poco::Net::HTTPServerRequest &request, const std::string &path,
-                    http_response_writer &writer)
+    void serveModelRequest(Poco::Net::HTTPServerRequest &request, const std::string &path,
+                           http_response_writer &writer)
     {
         if (!checkReady(writer) || !readCallerBody(request, writer))
             return;
@@ -399,7 +400,7 @@
                            .message = "model \"" + chat->model + "\" does not exist"});
             return;
         }
-        if (!authorize(request, *target, writer) || !checkTokens(*chat, *target, writer))
+        if (!authorize(request, *target, writer) || !checkMaxTokens(*chat, *target, writer))
             return;
         proxy_request forwarded = makeProxyRequest(request, *target);
         forwarded.path = path;
@@ -422,7 +423,7 @@
     }
 
     /// Returns whether max_tokens is within the limit of @p target; refuses the request if not.
-    bool checkTokens(const chat_request &chat, const route &target, http_response_writer &writer)
+    bool checkMaxTokens(const chat_request &chat, const route &target, http_response_writer &writer)
     {
         if (chat.maxTokens <= target.maxAnswerTokens)
             return true;
@@ -434,8 +435,8 @@
         return false;
     }
 
-    void servePath(Poco::Net::HTTPServerRequest &request, const std::string &path,
-                   http_response_writer &writer)
+    void servePathRequest(Poco::Net::HTTPServerRequest &request, const std::string &path,
+                          http_response_writer &writer)
     {
         if (!checkReady(writer))
             return;
@@ -505,10 +506,10 @@
     trace_context m_trace;
 };
 
-class callers_factory : public Poco::Net::HTTPRequestHandlerFactory
+class callers_handler_factory : public Poco::Net::HTTPRequestHandlerFactory
 {
 public:
-    callers_factory(const proxy_context &context, const settings &instanceSettings)
+    callers_handler_factory(const proxy_context &context, const settings &instanceSettings)
         : m_context(context), m_settings(instanceSettings)
     { }
 
@@ -528,7 +529,7 @@
 Poco::SharedPtr<Poco::Net::HTTPRequestHandlerFactory>
 makeCallersHandlerFactory(const proxy_context &context, const settings &instanceSettings)
 {
-    return new callers_factory(context, instanceSettings);
+    return new callers_handler_factory(context, instanceSettings);
 }
 
 } // namespace trefoil
--- a/trefoilrouter/src/chat_request.cpp
+++ b/trefoilrouter/src/chat_request.cpp
@@ -122,10 +122,11 @@
     }
     if (!model.empty() && model != request.model) {
         backendBody.encodedModel = writeJson(Json::Value(std::string(model)));
-        const std::size_t at = static_cast<std::size_t>(request.modelLiteral.data() - rest.data());
-        backendBody.segments.push_back(rest.substr(0, at));
+        const std::size_t modelOffset =
+            static_cast<std::size_t>(request.modelLiteral.data() - rest.data());
+        backendBody.segments.push_back(rest.substr(0, modelOffset));
         backendBody.segments.push_back(backendBody.encodedModel);
-        rest.remove_prefix(at + request.modelLiteral.size());
+        rest.remove_prefix(modelOffset + request.modelLiteral.size());
     }
     backendBody.segments.push_back(rest);
 }
--- a/trefoilrouter/src/control_thread.cpp
+++ b/trefoilrouter/src/control_thread.cpp
@@ -17,7 +17,7 @@
 /// idempotency claim a few platform calls.
 constexpr std::chrono::seconds decisionTimeout(8);
 
-/// How long a peer's request may take; the peer itself times out earlier.
+/// How long a peer's request or a lease check may take; the peer itself times out earlier.
 constexpr std::chrono::seconds peerReplyTimeout(1);
 
 constexpr std::chrono::seconds statusTimeout(2);
@@ -95,7 +95,8 @@
     if (decision.wait_for(decisionTimeout) == std::future_status::ready)
         return decision.get();
     m_mailbox.post(request_end_report {.id = id});
-    // An idempotency claim may have been created, but no further attempt was sent.
+    // mayHaveRun stays false: an idempotency claim may have been created, but no further attempt
+    // was sent.
     return {.id = id,
             .action = refuse_decision {.status = 503,
                                        .code = "no-decision",
@@ -270,7 +271,7 @@
         }
         executeActions(actionHandler);
         m_openRequests.store(m_node->openRequests());
-        m_released.store(m_node->released());
+        m_leasesReleased.store(m_node->released());
     }
     return {};
 }
--- a/trefoilrouter/src/control_thread.h
+++ b/trefoilrouter/src/control_thread.h
@@ -52,7 +52,7 @@
     void reportEnd(request_end_report report) { m_mailbox.post(std::move(report)); }
 
     /// @}
-    /// @name Results of I/O
+    /// @name Messages from I/O threads
     /// @{
 
     void postPeerAnswer(std::uint64_t id, peer_answer answer);
@@ -62,8 +62,8 @@
     void postOrderDone(std::uint64_t id, bool accepted);
     /// Handles a peer's request and blocks until the answer; returns nothing on a timeout.
     std::optional<peer_answer> handlePeerRequest(const peer_request &request);
-    /// Returns whether this instance holds the lease @p key now; false on a timeout. To be checked
-    /// immediately before an order is sent.
+    /// Returns whether this instance holds the lease @p key now; false on a timeout. Must be called
+    /// immediately before a load order is sent.
     bool holdsLease(const std::string &key);
 
     /// @}
@@ -77,7 +77,7 @@
     /// Returns the number of open requests.
     std::size_t openRequests() const { return m_openRequests.load(); }
     /// Returns whether all leases were handed over after leave().
-    bool hasReleasedLeases() const { return m_released.load(); }
+    bool hasReleasedLeases() const { return m_leasesReleased.load(); }
 
     /// @}
 
@@ -149,7 +149,7 @@
     mailbox<message> m_mailbox;
     std::atomic<std::uint64_t> m_nextRequestId = 1;
     std::atomic<std::size_t> m_openRequests = 0;
-    std::atomic<bool> m_released = false;
+    std::atomic<bool> m_leasesReleased = false;
     mutable std::mutex m_snapshotMutex;
     std::shared_ptr<const traffic_snapshot> m_snapshot = std::make_shared<const traffic_snapshot>();
 
--- a/trefoilrouter/src/edge/store_watch.cpp
+++ b/trefoilrouter/src/edge/store_watch.cpp
@@ -236,7 +236,7 @@
         }
     }
     for (const std::pair<std::string, endpoint> &each : stale) {
-        const result<http_response> answer = httpCallOnce(
+        const result<http_response> answer = sendHttpRequestOnNewConnection(
             each.second, {.path = "/copy?kind=" + encodeUri(each.first)}, fetchTimeout);
         if (answer && answer->status == HTTPResponse::HTTP_OK)
             applyFetchedCopy(each.first, answer->body);
--- a/trefoilrouter/src/http_object_store.cpp
+++ b/trefoilrouter/src/http_object_store.cpp
@@ -42,9 +42,9 @@
     : m_client(std::move(address), callsPerSecond)
 { }
 
-result<Json::Value> http_object_store::call(const http_call &request, duration timeout)
+result<Json::Value> http_object_store::call(const http_request &request, duration timeout)
 {
-    const result<json_http_client::reply> response = m_client.call(request, timeout);
+    const result<json_http_client::response> response = m_client.call(request, timeout);
     if (!response)
         return tl::unexpected(response.error());
     if (response->status != HTTPResponse::HTTP_OK)
--- a/trefoilrouter/src/http_object_store.h
+++ b/trefoilrouter/src/http_object_store.h
@@ -30,7 +30,7 @@
     const call_budget &budget() const { return m_client.budget(); }
 
 private:
-    result<Json::Value> call(const http_call &request, duration timeout);
+    result<Json::Value> call(const http_request &request, duration timeout);
 
     json_http_client m_client;
 };
--- a/trefoilrouter/src/http_util.cpp
+++ b/trefoilrouter/src/http_util.cpp
@@ -31,29 +31,31 @@
     return Poco::Timespan(std::chrono::duration_cast<std::chrono::microseconds>(time).count());
 }
 
-result<http_response> httpCall(Poco::Net::HTTPClientSession &session, const http_call &call)
+result<http_response> sendHttpRequest(Poco::Net::HTTPClientSession &session,
+                                      const http_request &request)
 {
     bool sent = false;
     try {
-        Poco::Net::HTTPRequest request(call.method, call.path, Poco::Net::HTTPMessage::HTTP_1_1);
-        request.setKeepAlive(true);
-        if (!call.body.empty() || call.method != "GET") {
-            request.setContentType(call.contentType);
-            request.setContentLength(static_cast<std::streamsize>(call.body.size()));
+        Poco::Net::HTTPRequest requestHead(request.method, request.path,
+                                           Poco::Net::HTTPMessage::HTTP_1_1);
+        requestHead.setKeepAlive(true);
+        if (!request.body.empty() || request.method != "GET") {
+            requestHead.setContentType(request.contentType);
+            requestHead.setContentLength(static_cast<std::streamsize>(request.body.size()));
         }
-        for (const std::pair<std::string, std::string> &header : call.headers)
-            request.set(header.first, header.second);
-        std::ostream &out = session.sendRequest(request);
+        for (const std::pair<std::string, std::string> &header : request.headers)
+            requestHead.set(header.first, header.second);
+        std::ostream &out = session.sendRequest(requestHead);
         sent = true;
-        out << call.body;
+        out << request.body;
         out.flush();
-        Poco::Net::HTTPResponse head;
-        std::istream &in = session.receiveResponse(head);
-        http_response response {.status = head.getStatus(), .body = {}};
+        Poco::Net::HTTPResponse responseHead;
+        std::istream &in = session.receiveResponse(responseHead);
+        http_response response {.status = responseHead.getStatus(), .body = {}};
         if (!readBody(in, maxResponseBytes, response.body))
             return failure(http_errors::broken, "the response is too long");
-        const bool isTruncated = head.hasContentLength()
-            && response.body.size() != static_cast<std::size_t>(head.getContentLength64());
+        const bool isTruncated = responseHead.hasContentLength()
+            && response.body.size() != static_cast<std::size_t>(responseHead.getContentLength64());
         if (isTruncated)
             return failure(http_errors::broken, "the response was truncated");
         return response;
@@ -66,21 +68,22 @@
     }
 }
 
-result<http_response> httpCallOnce(const endpoint &address, const http_call &call, duration timeout)
+result<http_response> sendHttpRequestOnNewConnection(const endpoint &address,
+                                                     const http_request &request, duration timeout)
 {
     Poco::Net::HTTPClientSession session(address.host, address.port);
     setTimeouts(session, timeout, timeout);
-    return httpCall(session, call);
+    return sendHttpRequest(session, request);
 }
 
 void setTimeouts(Poco::Net::HTTPClientSession &session, duration connect, duration transfer)
 {
-    const Poco::Timespan each = toTimespan(transfer);
-    session.setTimeout(toTimespan(connect), each, each);
+    const Poco::Timespan transferTimeout = toTimespan(transfer);
+    session.setTimeout(toTimespan(connect), transferTimeout, transferTimeout);
     if (!session.connected())
         return;
-    session.socket().setSendTimeout(each);
-    session.socket().setReceiveTimeout(each);
+    session.socket().setSendTimeout(transferTimeout);
+    session.socket().setReceiveTimeout(transferTimeout);
 }
 
 bool isReusable(Poco::Net::HTTPClientSession &session)
--- a/trefoilrouter/src/http_util.h
+++ b/trefoilrouter/src/http_util.h
@@ -20,15 +20,15 @@
 
 namespace trefoil {
 
-/// Response to an http_call.
+/// Response to an http_request, held in memory.
 struct http_response
 {
     int status = 0;
     std::string body;
 };
 
-/// An HTTP request without streaming: both bodies are held in memory.
-struct http_call
+/// An HTTP request with its body held in memory.
+struct http_request
 {
     std::string method = "GET";
     std::string path;
@@ -37,7 +37,7 @@
     std::vector<std::pair<std::string, std::string>> headers;
 };
 
-/// Error codes of httpCall().
+/// Error codes of sendHttpRequest().
 namespace http_errors {
 /// The connection was refused: nothing was sent.
 inline constexpr const char *refused = "connection-refused";
@@ -50,17 +50,19 @@
 /// Converts @p time to POCO's type. Thread-safe.
 Poco::Timespan toTimespan(duration time);
 
-/// Makes one call on @p session, which may be reused only if the call succeeds. Errors: those of
-/// http_errors. Not thread-safe on the same session.
-result<http_response> httpCall(Poco::Net::HTTPClientSession &session, const http_call &call);
+/// Sends @p request on @p session and reads the response. The session may be reused only on
+/// success. Errors: those of http_errors. Not thread-safe on the same session.
+result<http_response> sendHttpRequest(Poco::Net::HTTPClientSession &session,
+                                      const http_request &request);
 
-/// Makes one call on a new connection to @p address. @p timeout applies separately to connecting,
-/// to sending and to receiving. Errors: those of http_errors. Thread-safe.
-result<http_response> httpCallOnce(const endpoint &address, const http_call &call,
-                                   duration timeout);
+/// Sends @p request on a new connection to @p address and reads the response. @p timeout applies
+/// separately to connecting, to sending and to receiving. Errors: those of http_errors.
+/// Thread-safe.
+result<http_response> sendHttpRequestOnNewConnection(const endpoint &address,
+                                                     const http_request &request, duration timeout);
 
 /// Sets the timeouts of @p session and of its open socket, which would otherwise keep those of the
-/// previous call. Not thread-safe on the same session.
+/// previous request. Not thread-safe on the same session.
 void setTimeouts(Poco::Net::HTTPClientSession &session, duration connect, duration transfer);
 
 /// Returns whether an idle connection may be reused. An idle connection that is readable was closed
@@ -87,8 +89,8 @@
 /// Blocks until @p stop is requested.
 void waitForStop(const std::stop_token &stop);
 
-/// Returns a supervised body that runs @p serve. It fails with error "listen" if @p serve throws a
-/// Poco::Exception.
+/// Returns a supervised body that runs @p serve. It fails with error "listen", whose message names
+/// @p address, if @p serve throws a Poco::Exception.
 child_body makeListenerChild(endpoint address,
                              std::function<void(const std::stop_token &stop)> serve);
 
--- a/trefoilrouter/src/instance.cpp
+++ b/trefoilrouter/src/instance.cpp
@@ -25,7 +25,7 @@
 constexpr int platformThreads = 3;
 constexpr int watchThreads = 1;
 constexpr int peerThreads = 6;
-constexpr int pollThreads = 4;
+constexpr int serverThreads = 4;
 
 constexpr int peerListenerThreads = 16;
 constexpr int operatorThreads = 4;
@@ -113,7 +113,7 @@
                 control.postOrderDone(action.id, false);
                 return;
             }
-            const result<void> done = backends.orderLoad(action.order);
+            const result<void> done = backends.sendLoadOrder(action.order);
             if (!done)
                 logWarning("rollouts", "load order failed: " + done.error().message + ".");
             control.postOrderDone(action.id, done.has_value());
@@ -142,7 +142,7 @@
             {.name = "peers", .children = std::move(peerChildren), .onFailure = logFailure});
         const child_body serverTree =
             supervise({.name = "servers",
-                       .children = m_serverQueue.makeWorkers("poll", pollThreads),
+                       .children = m_serverQueue.makeWorkers("poll", serverThreads),
                        .onFailure = logFailure});
         return supervise(
             {.name = options.name,
@@ -166,8 +166,8 @@
              .onFailure = logFailure});
     }
 
-    /// Leaves the entry list, keeps serving callers with a cached list until it expires, and waits
-    /// for open streams and for the handover of leases.
+    /// Leaves the entry list, keeps serving callers until their cached entry lists have expired,
+    /// and waits for open streams and for the handover of leases.
     void drain()
     {
         logInfo("instance", "Leaving: rights are handed over, streams finish.");
--- a/trefoilrouter/src/instance.h
+++ b/trefoilrouter/src/instance.h
@@ -11,8 +11,8 @@
 /// An entry instance: creates its components and runs them in a supervisor tree.
 ///
 ///     instance router(settings);
-///     result<void> end = router.run(stop); // blocks until stop is requested or a component keeps
-///     failing
+///     // Blocks until stop is requested or a component keeps failing.
+///     result<void> outcome = router.run(stop);
 class instance
 {
 public:
--- a/trefoilrouter/src/json_http_client.cpp
+++ b/trefoilrouter/src/json_http_client.cpp
@@ -34,30 +34,31 @@
     m_idle.push_back(std::move(session));
 }
 
-result<json_http_client::reply> json_http_client::call(const http_call &request, duration timeout)
+result<json_http_client::response> json_http_client::call(const http_request &request,
+                                                          duration timeout)
 {
     if (!m_budget.take(boot_clock::now()))
         return failure(platform_errors::refused,
                        "the rate limit of calls to the platform is exceeded");
     session_ptr session = takeSession();
     setTimeouts(*session, std::min(connectTimeout, timeout), timeout);
-    const result<http_response> response = httpCall(*session, request);
-    if (!response) {
+    const result<http_response> httpResponse = sendHttpRequest(*session, request);
+    if (!httpResponse) {
         const bool isWrite = request.method != "GET";
-        const bool mayHaveArrived = isWrite && response.error().code == http_errors::broken;
+        const bool mayHaveArrived = isWrite && httpResponse.error().code == http_errors::broken;
         return failure(mayHaveArrived ? platform_errors::unknownOutcome
                                       : platform_errors::unavailable,
-                       response.error().message);
+                       httpResponse.error().message);
     }
     returnSession(std::move(session));
-    reply parsedReply {.status = response->status, .body = {}};
-    if (response->body.empty())
-        return parsedReply;
-    result<Json::Value> value = parseJson(response->body, "the response to " + request.path);
+    response parsed {.status = httpResponse->status, .body = {}};
+    if (httpResponse->body.empty())
+        return parsed;
+    result<Json::Value> value = parseJson(httpResponse->body, "the response to " + request.path);
     if (!value)
         return failure(platform_errors::unavailable, value.error().message);
-    parsedReply.body = std::move(*value);
-    return parsedReply;
+    parsed.body = std::move(*value);
+    return parsed;
 }
 
 } // namespace trefoil
--- a/trefoilrouter/src/json_http_client.h
+++ b/trefoilrouter/src/json_http_client.h
@@ -15,26 +15,26 @@
 
 namespace trefoil {
 
-/// Client of one HTTP server with JSON responses: persistent connections and a limit on the call
-/// rate. Thread-safe.
+/// Client of one HTTP server with JSON responses. Keeps connections open and limits the rate of
+/// calls. Thread-safe.
 class json_http_client
 {
 public:
-    /// Makes calls to @p address, at most @p callsPerSecond.
+    /// Makes calls to @p address. A call beyond @p callsPerSecond fails without being sent.
     json_http_client(endpoint address, double callsPerSecond);
 
     /// Response of any status.
-    struct reply
+    struct response
     {
         int status = 0;
         /// Null if the response has no body.
         Json::Value body;
     };
 
-    /// Makes one call; @p timeout limits each wait for data. Errors: those of platform_errors;
-    /// refused if the call rate limit is exceeded, unknown-outcome if a write may have taken
-    /// effect.
-    result<reply> call(const http_call &request, duration timeout);
+    /// Sends @p request and returns the response; @p timeout limits each wait for data. Errors:
+    /// those of platform_errors; refused if the call rate limit is exceeded, unknown-outcome if a
+    /// write may have taken effect.
+    result<response> call(const http_request &request, duration timeout);
 
     /// Returns the call rate limiter, for metrics.
     const call_budget &budget() const { return m_budget; }
--- a/trefoilrouter/src/operators_handler.cpp
+++ b/trefoilrouter/src/operators_handler.cpp
@@ -81,10 +81,10 @@
     operators_context m_context;
 };
 
-class operators_factory : public Poco::Net::HTTPRequestHandlerFactory
+class operators_handler_factory : public Poco::Net::HTTPRequestHandlerFactory
 {
 public:
-    explicit operators_factory(const operators_context &context) : m_context(context) { }
+    explicit operators_handler_factory(const operators_context &context) : m_context(context) { }
 
     Poco::Net::HTTPRequestHandler *
     createRequestHandler(const Poco::Net::HTTPServerRequest &) override
@@ -102,7 +102,7 @@
 makeOperatorsHandlerFactory(control_thread &control, metric_registry &metrics,
                             const call_budget &budget)
 {
-    return new operators_factory({control, metrics, budget});
+    return new operators_handler_factory({control, metrics, budget});
 }
 
 } // namespace trefoil
--- a/trefoilrouter/src/peer_rpc.cpp
+++ b/trefoilrouter/src/peer_rpc.cpp
@@ -112,16 +112,17 @@
     session_ptr session = takeSession(to, address);
     error transportError;
     const rpc_transport transport = [&](const std::string &text, std::string &response) {
-        const result<http_response> answer = httpCall(*session,
-                                                      {.method = "POST",
-                                                       .path = "/rpc",
-                                                       .body = text,
-                                                       .headers = {{peerSecretHeader, m_secret}}});
-        if (!answer) {
-            transportError = answer.error();
+        const result<http_response> httpResponse =
+            sendHttpRequest(*session,
+                            {.method = "POST",
+                             .path = "/rpc",
+                             .body = text,
+                             .headers = {{peerSecretHeader, m_secret}}});
+        if (!httpResponse) {
+            transportError = httpResponse.error();
             return false;
         }
-        response = answer->body;
+        response = httpResponse->body;
         return true;
     };
     Json::Value value;
--- a/trefoilrouter/src/proxy.cpp
+++ b/trefoilrouter/src/proxy.cpp
@@ -41,7 +41,7 @@
 /// Returns the completion tokens that a response reports, or nothing if it has no choices.
 std::optional<double> completionTokensOf(const std::string &body)
 {
-    const result<Json::Value> value = parseJson(body, "an answer");
+    const result<Json::Value> value = parseJson(body, "a response");
     if (!value || !value->isObject() || !(*value)["choices"].isArray()
         || (*value)["choices"].empty())
         return std::nullopt;
@@ -80,22 +80,23 @@
             decision = m_context.control.admit(m_request.incoming);
             continue;
         }
-        const send_decision go = std::get<send_decision>(decision.action);
+        const send_decision sendDecision = std::get<send_decision>(decision.action);
         const std::uint64_t startedAt = wallMilliseconds();
-        const attempt_result outcome = attempt(go);
-        exportAttempt(go, startedAt, outcome);
+        const attempt_result outcome = attempt(sendDecision);
+        exportAttempt(sendDecision, startedAt, outcome);
         if (outcome == attempt_result::Completed) {
             reportEnd(true);
             return;
         }
         if (outcome == attempt_result::CallerGone) {
             m_context.metrics.counterOf("trefoil_caller_gone_total").add();
-            m_context.backends.cancel(go.address, m_request.targetPool->credential,
-                                      std::to_string(go.attempt));
+            m_context.backends.cancel(sendDecision.address, m_request.targetPool->credential,
+                                      std::to_string(sendDecision.attempt));
             reportEnd(false);
             return;
         }
-        m_context.metrics.counterOf("trefoil_attempts_failed_total", "server=\"" + go.server + "\"")
+        m_context.metrics
+            .counterOf("trefoil_attempts_failed_total", "server=\"" + sendDecision.server + "\"")
             .add();
         decision = m_context.control.reportFailedAttempt({.id = id, .kind = m_failure});
     }
@@ -111,7 +112,7 @@
                                  .answer = std::move(m_responseBody)});
 }
 
-backend_request proxy::makeRequest(const send_decision &go) const
+backend_request proxy::makeRequest(const send_decision &sendDecision) const
 {
     backend_request request {.method = m_request.method,
                              .path = m_request.path,
@@ -124,7 +125,7 @@
         request.headers.emplace_back("Authorization", "Bearer " + m_request.targetPool->credential);
     request.headers.emplace_back("traceparent", toTraceparent(m_attemptTrace));
     if (m_request.isModel) {
-        request.headers.emplace_back("X-Attempt", std::to_string(go.attempt));
+        request.headers.emplace_back("X-Attempt", std::to_string(sendDecision.attempt));
         if (!m_request.incoming.chain.blocks.empty())
             request.headers.emplace_back("X-Prefix-Blocks",
                                          prefixBlocksHeader(m_request.incoming.chain));
@@ -135,24 +136,24 @@
     return request;
 }
 
-void proxy::failWith(const error &reason)
+void proxy::recordError(const error &reason)
 {
-    fail(attemptFailureOf(reason.code));
+    recordFailure(attemptFailureOf(reason.code));
     logDebug("traffic", "attempt failed: " + reason.message);
 }
 
-proxy::attempt_result proxy::attempt(const send_decision &go)
+proxy::attempt_result proxy::attempt(const send_decision &sendDecision)
 {
     m_attemptTrace = childOf(m_request.trace);
     m_attempt = m_assembler.begin();
     m_firstTokenReported = false;
     const std::unique_ptr<backend_exchange> exchange = m_context.backends.open(
-        go.address, m_request.incoming.idempotent, m_request.targetPool->responseTimeout);
-    const result<void> started = exchange->start(makeRequest(go));
+        sendDecision.address, m_request.incoming.idempotent, m_request.targetPool->responseTimeout);
+    const result<void> started = exchange->start(makeRequest(sendDecision));
     if (!started) {
         if (started.error().code == backend_errors::callerGone)
             return attempt_result::CallerGone;
-        failWith(started.error());
+        recordError(started.error());
         return attempt_result::Failed;
     }
     const int status = exchange->response().getStatus();
@@ -161,7 +162,7 @@
             || status == HTTPResponse::HTTP_SERVICE_UNAVAILABLE);
     if (isBusy
         || (m_request.incoming.idempotent && status >= HTTPResponse::HTTP_INTERNAL_SERVER_ERROR)) {
-        fail(isBusy ? attempt_failure::Busy : attempt_failure::ServerError);
+        recordFailure(isBusy ? attempt_failure::Busy : attempt_failure::ServerError);
         return attempt_result::Failed;
     }
     const bool isStream = m_request.stream && status == HTTPResponse::HTTP_OK
@@ -176,14 +177,14 @@
     while (true) {
         const result<std::size_t> count = exchange.read(buffer);
         if (!count) {
-            failWith(count.error());
+            recordError(count.error());
             return attempt_result::Failed;
         }
         if (*count == 0)
             break;
         body.append(buffer.data(), *count);
         if (body.size() > maxResponseBytes) {
-            fail(attempt_failure::Truncated);
+            recordFailure(attempt_failure::Truncated);
             return attempt_result::Failed;
         }
     }
@@ -191,7 +192,7 @@
     const bool isTruncated = head.hasContentLength()
         && body.size() != static_cast<std::size_t>(head.getContentLength64());
     if (isTruncated) {
-        fail(attempt_failure::Truncated);
+        recordFailure(attempt_failure::Truncated);
         return attempt_result::Failed;
     }
     exchange.finish();
@@ -200,7 +201,7 @@
     if (m_request.isModel && m_status == HTTPResponse::HTTP_OK) {
         const std::optional<double> tokens = completionTokensOf(body);
         if (!tokens) {
-            fail(attempt_failure::Empty);
+            recordFailure(attempt_failure::Empty);
             return attempt_result::Failed;
         }
         m_completionTokens = *tokens;
@@ -228,15 +229,16 @@
     while (outcome == attempt_result::Continue) {
         const result<std::size_t> count = exchange.read(buffer);
         if (!count) {
-            failWith(count.error());
+            recordError(count.error());
             return attempt_result::Failed;
         }
         if (*count == 0) {
-            fail(m_assembler.next() == 0 ? attempt_failure::Empty : attempt_failure::Truncated);
+            recordFailure(m_assembler.next() == 0 ? attempt_failure::Empty
+                                                  : attempt_failure::Truncated);
             return attempt_result::Failed;
         }
         if (!parser.feed(std::string_view(buffer.data(), *count), onEvent)) {
-            fail(attempt_failure::Truncated);
+            recordFailure(attempt_failure::Truncated);
             return attempt_result::Failed;
         }
     }
@@ -261,10 +263,10 @@
         m_writer.sendEvent("", event.data);
         return attempt_result::Completed;
     case stream_step::Empty:
-        fail(attempt_failure::Empty);
+        recordFailure(attempt_failure::Empty);
         return attempt_result::Failed;
     case stream_step::Gap:
-        fail(attempt_failure::Truncated);
+        recordFailure(attempt_failure::Truncated);
         return attempt_result::Failed;
     case stream_step::Repeated:
     case stream_step::Stale:
@@ -295,7 +297,8 @@
     }
 }
 
-void proxy::exportAttempt(const send_decision &go, std::uint64_t startedAt, attempt_result outcome)
+void proxy::exportAttempt(const send_decision &sendDecision, std::uint64_t startedAt,
+                          attempt_result outcome)
 {
     if (!m_context.spans.isEnabled())
         return;
@@ -304,8 +307,8 @@
                          .name = "attempt",
                          .startMilliseconds = startedAt,
                          .endMilliseconds = wallMilliseconds(),
-                         .attributes = {{"server", go.server},
-                                        {"version", go.version},
+                         .attributes = {{"server", sendDecision.server},
+                                        {"version", sendDecision.version},
                                         {"pool", m_request.incoming.pool}},
                          .failed = outcome == attempt_result::Failed});
 }
--- a/trefoilrouter/src/proxy.h
+++ b/trefoilrouter/src/proxy.h
@@ -79,16 +79,17 @@
 private:
     enum class attempt_result { Continue, Completed, Failed, CallerGone };
 
-    attempt_result attempt(const send_decision &go);
+    attempt_result attempt(const send_decision &sendDecision);
     attempt_result relayResponse(backend_exchange &exchange);
     attempt_result relayStream(backend_exchange &exchange);
     attempt_result handleEvent(const sse_event &event);
-    backend_request makeRequest(const send_decision &go) const;
+    backend_request makeRequest(const send_decision &sendDecision) const;
     void reportFirstToken(const backend_exchange &exchange);
     void reportEnd(bool answered);
-    void fail(attempt_failure kind) { m_failure = kind; }
-    void failWith(const error &reason);
-    void exportAttempt(const send_decision &go, std::uint64_t startedAt, attempt_result outcome);
+    void recordFailure(attempt_failure kind) { m_failure = kind; }
+    void recordError(const error &reason);
+    void exportAttempt(const send_decision &sendDecision, std::uint64_t startedAt,
+                       attempt_result outcome);
 
     proxy_context m_context;
     proxy_request m_request;
--- a/trefoilrouter/src/span_exporter.cpp
+++ b/trefoilrouter/src/span_exporter.cpp
@@ -10,8 +10,7 @@
 
 namespace {
 
-/// Maximum number of spans in one export.
-constexpr std::size_t maxBatch = 256;
+constexpr std::size_t maxSpansPerBatch = 256;
 constexpr duration batchPeriod = std::chrono::milliseconds(200);
 constexpr duration collectorTimeout = std::chrono::seconds(2);
 
@@ -34,14 +33,14 @@
 
 result<void> span_exporter::run(const std::stop_token &stop)
 {
-    bool more = true;
-    while (more || !stop.stop_requested()) {
+    bool hasMore = true;
+    while (hasMore || !stop.stop_requested()) {
         std::vector<span> batch;
         std::optional<span> next = m_spans.take(batchPeriod);
-        more = next.has_value();
+        hasMore = next.has_value();
         while (next) {
             batch.push_back(std::move(*next));
-            if (batch.size() >= maxBatch)
+            if (batch.size() >= maxSpansPerBatch)
                 break;
             next = m_spans.take(duration::zero());
         }
@@ -62,7 +61,7 @@
     }
     endpoint address;
     if (!m_collector.empty() && parseEndpoint(m_collector, address)) {
-        const result<http_response> response = httpCallOnce(
+        const result<http_response> response = sendHttpRequestOnNewConnection(
             address, {.method = "POST", .path = "/v1/traces", .body = text}, collectorTimeout);
         if (!response)
             logWarning("traces", "The collector did not accept spans: " + response.error().message);
--- a/trefoilrouter/src/verb_explain.cpp
+++ b/trefoilrouter/src/verb_explain.cpp
@@ -12,8 +12,9 @@
 
 namespace {
 
-/// Events about a request's servers are included from this long before the request on. Entries,
-/// reports and probes update the state of a server within this time.
+/// How long before a request's first record the timeline begins to include events of its servers
+/// and of its instances' dependencies. Server entries, reports and probes update the state of a
+/// server within this time.
 constexpr std::int64_t contextWindowMs = 5000;
 
 /// Appends the log lines that contain a JSON object to @p records. A prefix before the object, as
--- a/trefoilrouter/src/verb_serve.cpp
+++ b/trefoilrouter/src/verb_serve.cpp
@@ -53,7 +53,7 @@
     pthread_sigmask(SIG_BLOCK, &set, nullptr);
     std::signal(SIGPIPE, SIG_IGN);
     std::stop_source stop;
-    std::jthread signals([&](const std::stop_token &ended) {
+    std::jthread signalThread([&](const std::stop_token &ended) {
         const timespec timeout {.tv_sec = 0, .tv_nsec = signalCheckNanoseconds};
         while (!ended.stop_requested()) {
             if (sigtimedwait(&set, nullptr, &timeout) > 0) {
--- a/trefoilrouter/src/verb_status.cpp
+++ b/trefoilrouter/src/verb_status.cpp
@@ -60,7 +60,7 @@
         return ExitUsage;
     }
     const result<http_response> response =
-        httpCallOnce(address, {.path = "/status"}, statusTimeout);
+        sendHttpRequestOnNewConnection(address, {.path = "/status"}, statusTimeout);
     if (!response || response->status != 200) {
         std::cerr << "status: instance " << options.instance << " does not answer\n";
         return ExitFailed;
--- a/trefoilrouter/src/verbs.h
+++ b/trefoilrouter/src/verbs.h
@@ -17,22 +17,21 @@
 /// Output format.
 enum class print_format { Text, Json };
 
-/// Runs an instance until SIGTERM or SIGINT.
 struct serve_options
 {
     std::string settingsFile;
 };
+/// Runs an instance until SIGTERM or SIGINT.
 int runServe(const serve_options &options);
 
-/// Runs an entry instance that is hosted by an external platform until SIGTERM or SIGINT.
 struct edge_options
 {
     /// Settings file provided by the platform; empty to take its path from the environment.
     std::string settingsFile;
 };
+/// Runs an entry instance that is hosted by an external platform until SIGTERM or SIGINT.
 int runEdge(const edge_options &options);
 
-/// Prints the log records of several instances that concern one request, sorted by time.
 struct explain_options
 {
     std::string request;
@@ -40,9 +39,9 @@
     std::vector<std::string> files;
     print_format format = print_format::Text;
 };
+/// Prints the log records of several instances that concern one request, sorted by time.
 int runExplain(const explain_options &options);
 
-/// Checks settings and tables and prints all findings. Files with an empty name are skipped.
 struct check_options
 {
     std::string settingsFile;
@@ -50,27 +49,27 @@
     std::string poolsFile;
     print_format format = print_format::Text;
 };
+/// Checks settings and tables and prints all findings. Files with an empty name are skipped.
 int runCheck(const check_options &options);
 
-/// Checks tables and writes them to the platform by conditional update.
 struct apply_options
 {
     std::string platform;
     std::string routesFile;
     std::string poolsFile;
 };
+/// Checks tables and writes them to the platform by conditional update.
 int runApply(const apply_options &options);
 
-/// Prints the status report of an instance.
 struct status_options
 {
     /// "address:port" of an instance's operators' listener.
     std::string instance;
     print_format format = print_format::Text;
 };
+/// Prints the status report of an instance.
 int runStatus(const status_options &options);
 
-/// Issues, lists or withdraws callers' keys.
 struct keys_options
 {
     std::string platform;
@@ -82,6 +81,7 @@
     std::string digest;
     print_format format = print_format::Text;
 };
+/// Issues, lists or withdraws callers' keys.
 int runKeys(const keys_options &options);
 
 } // namespace trefoil
--- a/trefoilrouter/tests/backend_client_test.cpp
+++ b/trefoilrouter/tests/backend_client_test.cpp
@@ -13,14 +13,14 @@
 using namespace std::chrono_literals;
 
 /// Backend server that closes each connection without responding to the request. Its listener
-/// closes some time after the first one.
+/// closes some time after the first of these connections.
 class disconnecting_server
 {
 public:
-    /// @p answersProbes: whether the server responds to OPTIONS, as a live server does.
+    /// @p respondsToProbes: whether the server responds to OPTIONS, as a live server does.
     /// @p listenerLifetime: how long it keeps listening after the first closed connection.
-    disconnecting_server(bool answersProbes, duration listenerLifetime)
-        : m_socket(Poco::Net::SocketAddress("127.0.0.1", 0)), m_answersProbes(answersProbes),
+    disconnecting_server(bool respondsToProbes, duration listenerLifetime)
+        : m_socket(Poco::Net::SocketAddress("127.0.0.1", 0)), m_respondsToProbes(respondsToProbes),
           m_listenerLifetime(listenerLifetime),
           m_thread([this](const std::stop_token &stop) { serve(stop); })
     { }
@@ -38,9 +38,9 @@
             char bytes[4096];
             const int count = connection.receiveBytes(bytes, sizeof bytes);
             const std::string_view request(bytes, static_cast<std::size_t>(std::max(count, 0)));
-            if (m_answersProbes && request.starts_with("OPTIONS")) {
-                const std::string_view answer = "HTTP/1.1 405 X\r\nContent-Length: 0\r\n\r\n";
-                connection.sendBytes(answer.data(), static_cast<int>(answer.size()));
+            if (m_respondsToProbes && request.starts_with("OPTIONS")) {
+                const std::string_view response = "HTTP/1.1 405 X\r\nContent-Length: 0\r\n\r\n";
+                connection.sendBytes(response.data(), static_cast<int>(response.size()));
             }
             connection.close();
             if (!closesAt)
@@ -51,7 +51,7 @@
 
     Poco::Net::ServerSocket m_socket;
     endpoint m_address {.host = "127.0.0.1", .port = m_socket.address().port()};
-    bool m_answersProbes;
+    bool m_respondsToProbes;
     duration m_listenerLifetime;
     std::jthread m_thread;
 };
@@ -76,7 +76,7 @@
     EXPECT_EQ(startErrorCode(server), backend_errors::crashed);
 }
 
-TEST(BackendClient, ReportsConnectionLossWhenServerAnswersProbe)
+TEST(BackendClient, ReportsConnectionLossWhenServerRespondsToProbe)
 {
     const disconnecting_server server(true, 5s);
     const timestamp start = boot_clock::now();
