--- a/libs/control/benchmarks/bench_capacity.cpp
+++ b/libs/control/benchmarks/bench_capacity.cpp
@@ -29,7 +29,7 @@
     void add(double size, double cost) { m_points.emplace_back(size, cost); }
 
     /// Appends a row with the least-squares line and the growth exponent between the smallest and
-    /// the largest size: above 1 the cost grows faster than linearly.
+    /// the largest size. An exponent above 1 means that the cost grows faster than linearly.
     void addTo(report_table &table) const
     {
         double sumX = 0;
@@ -66,7 +66,7 @@
 
 report_table costCurvesTable()
 {
-    report_table table("slopes", {"cost", "unit", "base", "for each more", "exponent"});
+    report_table table("fitted costs", {"cost", "unit", "intercept", "slope", "exponent"});
     for (const cost_curve &each : costCurves())
         each.addTo(table);
     return table;
@@ -104,11 +104,11 @@
 /// Measures the steady state and one configuration change for growing numbers of instances.
 report_table benchInstances()
 {
-    report_table table("control of a node as instances grow (100 teams, 10 backend servers)",
+    report_table table("costs of a node by number of instances (100 teams, 10 backend servers)",
                        {"instances", "messages/s", "KB/s", "% of a core", "platform reads/s",
-                        "writes/s", "watches/s", "change in force everywhere s",
-                        "KB a node a change", "heap MB a node", "allocations/s"});
-    cost_curve cpuCurve("processor of a node, by instances", "% of a core");
+                        "writes/s", "watches/s", "change active everywhere s", "KB/node/change",
+                        "heap MB/node", "allocations/s"});
+    cost_curve cpuCurve("CPU of a node, by instances", "% of a core");
     cost_curve byteCurve("steady bytes of a node, by instances", "KB/s");
     cost_curve changeCurve("bytes of a node for a change, by instances", "KB");
     cost_curve heapCurve("heap of a node, by instances", "MB");
@@ -181,10 +181,10 @@
 
 report_table benchTeams()
 {
-    report_table table("an instance as teams grow",
-                       {"teams", "routes table KB", "time to check and take it ms", "heap KB",
-                        "heap bytes a team"});
-    cost_curve parseCurve("checking and taking the routes table, by teams", "ms");
+    report_table table(
+        "costs of an instance by number of teams",
+        {"teams", "routes table KB", "validate and activate ms", "heap KB", "heap bytes/team"});
+    cost_curve parseCurve("validating and activating the routes table, by teams", "ms");
     cost_curve heapCurve("heap, by teams", "KB");
     for (const int teams : {27, 270, 2700}) {
         const std::string text = makeRoutes(teams);
@@ -192,8 +192,8 @@
         configuration_store store;
         const double seconds = measureSeconds(
             [&] { store.apply({.name = config_names::routes, .version = 1, .value = text}); });
-        lease_manager keeper({.self = "n", .zone = "a", .keys = shardKeys(32)}, timestamp());
-        rate_limiter limits({.self = "n"}, keeper);
+        lease_manager leases({.self = "n", .zone = "a", .keys = shardKeys(32)}, timestamp());
+        rate_limiter limits({.self = "n"}, leases);
         std::map<std::string, token_limit, std::less<>> rates;
         for (const team &each : store.snapshot()->routes.teams)
             rates[each.name] = {.rate = static_cast<double>(each.rate),
@@ -214,8 +214,8 @@
 report_table benchBackendServers()
 {
     report_table table(
-        "placement as backend servers grow (prompts of 10 blocks)",
-        {"backend servers", "choose us", "allocations", "heap KB", "heap bytes a server"});
+        "placement by number of backend servers (prompts of 10 blocks)",
+        {"backend servers", "choose us", "allocations", "heap KB", "heap bytes/server"});
     cost_curve chooseCurve("choosing a backend server, by servers of the pool", "us");
     for (const int count : {10, 100, 1000}) {
         const double before = heapBytes();
@@ -255,49 +255,49 @@
 
 report_table benchCacheBlocks()
 {
-    report_table table("belief about caches as blocks grow",
-                       {"blocks", "event ns", "heap KB", "heap bytes a block"});
-    cost_curve beliefCurve("heap of belief, by blocks", "KB");
+    report_table table("cache estimate by number of blocks",
+                       {"blocks", "event ns", "heap KB", "heap bytes/block"});
+    cost_curve heapCurve("heap of the cache estimate, by blocks", "KB");
     for (const int blocks : {1000, 10000, 100000}) {
         std::vector<digest128> digests;
         for (int i = 0; i < blocks; ++i)
             digests.push_back(digestOf(std::to_string(i)));
         const double before = heapBytes();
-        cache_estimate belief("v1", 1);
+        cache_estimate estimate("v1", 1);
         const timestamp now {std::chrono::seconds(100)};
         const double seconds = measureSeconds([&] {
             for (int i = 0; i < blocks; ++i)
-                belief.noteEvents(now, static_cast<std::uint64_t>(i) + 1,
-                                  std::span(digests).subspan(static_cast<std::size_t>(i), 1), {});
+                estimate.noteEvents(now, static_cast<std::uint64_t>(i) + 1,
+                                    std::span(digests).subspan(static_cast<std::size_t>(i), 1), {});
         });
         const double heap = heapBytes() - before;
-        beliefCurve.add(blocks, heap / 1000);
+        heapCurve.add(blocks, heap / 1000);
         table.add({std::to_string(blocks), formatNumber(seconds / blocks * 1e9, 0),
                    formatNumber(heap / 1000, 0), formatNumber(heap / blocks, 0)});
     }
-    costCurves().push_back(beliefCurve);
+    costCurves().push_back(heapCurve);
     return table;
 }
 
 report_table benchLimitOwner()
 {
-    report_table table("limit owner as open requests of a team grow",
-                       {"open requests", "reserve and settle us", "heap bytes a request"});
+    report_table table("limit owner by number of open requests of a team",
+                       {"open requests", "reserve and settle us", "heap bytes/request"});
     cost_curve settleCurve("reserving and settling, by open requests of a team", "us");
     for (const int open : {100, 1000, 10000}) {
         const double before = heapBytes();
         const timestamp start {std::chrono::seconds(100)};
-        token_bucket account({.rate = 1e9, .burst = 1e12}, start, 1e12);
+        token_bucket bucket({.rate = 1e9, .burst = 1e12}, start, 1e12);
         std::vector<std::uint64_t> ids;
         for (int i = 0; i < open; ++i)
-            ids.push_back(*account.reserve(start, 1000));
+            ids.push_back(*bucket.reserve(start, 1000));
         const double heap = heapBytes() - before;
         constexpr int rounds = 1000;
         const double seconds = measureSeconds([&] {
             for (int i = 0; i < rounds; ++i) {
                 const std::size_t index = static_cast<std::size_t>(i * 7919 % open);
-                account.settle(start, ids[index], 100);
-                ids[index] = *account.reserve(start, 1000);
+                bucket.settle(start, ids[index], 100);
+                ids[index] = *bucket.reserve(start, 1000);
             }
         });
         settleCurve.add(open, seconds / rounds * 1e6);
@@ -310,11 +310,10 @@
 
 report_table benchConfigurationChanges()
 {
-    report_table table("changes of configuration in a minute (33 instances, 100 teams)",
-                       {"changes", "KB/s a node", "% of a core", "platform reads/s"});
-    cost_curve byteCurve("bytes of a node, by changes in a minute at 33 instances", "KB/s");
-    cost_curve cpuCurve("processor of a node, by changes in a minute at 33 instances",
-                        "% of a core");
+    report_table table("configuration changes per minute (33 instances, 100 teams)",
+                       {"changes", "KB/s/node", "% of a core", "platform reads/s"});
+    cost_curve byteCurve("bytes of a node, by changes per minute at 33 instances", "KB/s");
+    cost_curve cpuCurve("CPU of a node, by changes per minute at 33 instances", "% of a core");
     for (const int changes : {1, 10, 60}) {
         control_simulation simulation(33, 1);
         simulation.apply(config_names::routes, makeRoutes(100));
@@ -346,11 +345,11 @@
 
 report_table benchMessageSizes()
 {
-    report_table table("messages as encoded", {"message", "bytes"});
+    report_table table("encoded messages", {"message", "bytes"});
     const auto size = [](const auto &message) {
         return std::to_string(writeJson(toJson(message)).size());
     };
-    const peer_request ask =
+    const peer_request request =
         grant_request {.from = "entry-1",
                        .team = "anchovy",
                        .needed = 14000,
@@ -370,9 +369,9 @@
                                      .peers = "10.0.0.11:8081",
                                      .incarnation = 1796356379000}};
     const peer_request ping = gossip_ping {.from = "entry-1", .rumors = {toRumor(announced)}};
-    table.add({"grant ask", size(ask)});
+    table.add({"grant request", size(request)});
     table.add({"grant answer", size(granted)});
-    table.add({"confirmation ask, one right", size(confirm)});
+    table.add({"confirmation request, one lease", size(confirm)});
     table.add({"ping with one member's rumor", size(ping)});
     const std::string routes = makeRoutes(2700);
     const peer_answer routesObject =
--- a/libs/control/benchmarks/control_simulation.cpp
+++ b/libs/control/benchmarks/control_simulation.cpp
@@ -45,7 +45,7 @@
 
 void control_simulation::start(const std::string &name)
 {
-    // Eleven zones, as in the target deployment; smaller clusters use fewer.
+    // Eleven zones, as in the target deployment; smaller fleets use fewer.
     const std::string zone(1, static_cast<char>('a' + std::stoi(name.substr(1)) % 11));
     control_options options {.self = {.name = name,
                                       .zone = zone,
--- a/libs/control/benchmarks/control_simulation.h
+++ b/libs/control/benchmarks/control_simulation.h
@@ -12,7 +12,7 @@
 
 namespace trefoil {
 
-/// Simulates a cluster of real control nodes with a fake network and a fake platform in virtual
+/// Simulates a fleet of real control nodes with a fake network and a fake platform in virtual
 /// time. Messages pass through the real codec and are counted with their encoded size. Used by the
 /// capacity benchmark and the session tests. Not thread-safe.
 class control_simulation
@@ -31,7 +31,7 @@
     void start(const std::string &name);
     void kill(const std::string &name) { m_nodes.erase(name); }
     void run(duration time);
-    /// Stores an object in the fake platform, whatever its current version is.
+    /// Stores an object in the fake platform, regardless of its current version.
     void apply(const std::string &name, const std::string &value);
     control_node &node(const std::string &name) { return *m_nodes.at(name); }
     /// Returns the configuration in the last snapshot that node @p name published.
--- a/libs/control/include/control/configuration_store.h
+++ b/libs/control/include/control/configuration_store.h
@@ -70,8 +70,8 @@
 public:
     configuration_store();
 
-    /// Validates @p item and activates it if it is valid. Returns whether it was activated; a
-    /// version that isProcessed() is ignored.
+    /// Validates @p item and activates it if it is valid. Returns whether it was activated. A
+    /// version for which isProcessed() returns true is ignored.
     bool apply(const object &item);
     /// Returns the newest valid object named @p name, or null if there is none. Peers are served
     /// this object. The pointer is invalidated by apply().
--- a/libs/control/include/control/control_node.h
+++ b/libs/control/include/control/control_node.h
@@ -27,14 +27,14 @@
 struct control_options
 {
     member_info self;
-    /// Addresses ("address:port") of the peer listeners contacted first to join the cluster.
+    /// Addresses ("address:port") of the peer listeners contacted first to join the fleet.
     std::vector<std::string> seeds;
     std::uint64_t randomSeed = 0;
     /// Number of leases over which the limits of all teams are hashed.
     int limitShards = 32;
 };
 
-/// Actions that the driver must execute. @{
+/// Actions that the embedding program must execute. @{
 
 /// Send a request to the peer at address @c to; report its answer or failure under @c id.
 struct peer_send
@@ -43,7 +43,8 @@
     std::string to;
     peer_request request;
 };
-/// Send the answer to a peer's request that onPeerRequest() did not answer immediately.
+/// Send the answer to the peer's request that was passed to onPeerRequest() with @c token and not
+/// answered immediately.
 struct peer_reply
 {
     std::uint64_t token = 0;
@@ -103,7 +104,7 @@
 ///     for (control_action &action : node.takeActions())
 ///         execute(std::move(action));
 ///
-/// tick() must be called about every 10 ms and takeActions() after every event. Not thread-safe: it
+/// tick() must be called about every 20 ms and takeActions() after every event. Not thread-safe: it
 /// is owned by one control thread.
 class control_node
 {
@@ -156,7 +157,8 @@
     bool holds(timestamp now, const std::string &key) const { return m_leases.holds(now, key); }
     /// Returns the status report as JSON.
     Json::Value status(timestamp now);
-    /// Returns whether all leases were handed over after leave().
+    /// Returns whether this instance owns no lease and has no lease write in flight. After leave()
+    /// this means that all leases were handed over.
     bool released() const { return m_leases.released(); }
     /// Returns the number of requests in progress.
     std::size_t openRequests() const { return m_requestCoordinator.openRequests(); }
@@ -255,7 +257,8 @@
     Json::Value reportMembers() const;
     Json::Value reportVersions() const;
     Json::Value reportRollouts() const;
-    /// Returns whether this instance is one of those of its zone that watch the configuration.
+    /// Returns whether this instance is among the instances of its zone that watch the
+    /// configuration.
     bool isWatcher() const;
     /// Returns whether rendezvous hashing assigns the fleet-wide @p task to this instance.
     bool isResponsibleFor(std::string_view task) const;
--- a/libs/control/include/control/entry_selection.h
+++ b/libs/control/include/control/discovery.h
@@ -10,8 +10,8 @@
 
 namespace trefoil {
 
-/// Input for ranking the instances through which a caller of a team should enter.
-struct entry_query
+/// Input for ranking the instances that a caller of a team should use.
+struct discovery_query
 {
     std::string_view team;
     /// Identifies the caller: the callers of a large team are spread over its subset of instances.
@@ -28,11 +28,12 @@
 /// first, because it admits requests without a grant, then the instances of the same zone, then the
 /// others, each group by rendezvous weight. The first subsetSize instances are rotated by the
 /// caller's hash. Suspect, dead and leaving members are excluded. Thread-safe.
-std::vector<member> rankEntryInstances(std::span<const member> members, const entry_query &query);
+std::vector<member> rankInstancesForCaller(std::span<const member> members,
+                                           const discovery_query &query);
 
 /// Returns the number of instances over which the callers of a team with token rate @p rate should
 /// be spread, in proportion to its share of @p totalRate, the sum over all teams. The result lies
 /// between one and half of @p instances. Thread-safe.
-std::size_t entrySubsetSize(double rate, double totalRate, std::size_t instances);
+std::size_t discoverySubsetSize(double rate, double totalRate, std::size_t instances);
 
 } // namespace trefoil
--- a/libs/control/include/control/request_coordinator.h
+++ b/libs/control/include/control/request_coordinator.h
@@ -195,8 +195,8 @@
     /// Handles the outcome of a claim_call that creates or reads a claim.
     void onClaimCreated(timestamp now, std::uint64_t id, const result<std::uint64_t> &outcome);
     void onClaimRead(timestamp now, std::uint64_t id, const result<object> &outcome);
-    /// Processes the pending admission decisions of the limit node. Must be called after every call
-    /// that may have produced one.
+    /// Processes the pending admission decisions of the rate limiter. Must be called after every
+    /// call that may have produced one.
     void processAdmissions(timestamp now);
 
     /// @}
--- a/libs/control/include/control/rollout_coordinator.h
+++ b/libs/control/include/control/rollout_coordinator.h
@@ -44,15 +44,16 @@
 /// Returns the keys of all rollout leases. Thread-safe.
 std::vector<std::string> rolloutLeaseKeys();
 
-/// Runs the rollout drivers of the pools whose rollout leases this instance holds. A pure state
+/// Runs the rollout controllers of the pools whose rollout leases this instance holds. A pure state
 /// machine. Not thread-safe.
 class rollout_coordinator
 {
 public:
-    /// Precondition: @p rights outlives this object.
+    /// Precondition: @p leases outlives this object.
     explicit rollout_coordinator(const lease_view &leases) : m_leases(leases) { }
 
-    /// Sets the active configuration. Drivers whose rollout was removed or changed are discarded.
+    /// Sets the active configuration. Controllers whose rollout was removed or changed are
+    /// discarded.
     void setConfiguration(std::shared_ptr<const configuration_snapshot> configuration);
     /// Takes the record of @p pool at object version @p version, from the platform or a peer.
     /// Returns whether it is newer than the known one; others are ignored.
@@ -67,8 +68,8 @@
     /// Handles the failure of an order to @p server.
     void onOrderFailed(const std::string &pool, const std::string &server);
 
-    /// Advances the drivers of the leases held at @p now. @p wallSeconds is the wall-clock time in
-    /// seconds since the epoch, in which deadlines are configured.
+    /// Advances the controllers of the pools whose leases are held at @p now. @p wallSeconds is the
+    /// wall-clock time in seconds since the epoch, in which deadlines are configured.
     void tick(timestamp now, std::int64_t wallSeconds, request_coordinator &requests);
     /// Returns the writes due since the last call.
     std::vector<rollout_write> takeWrites();
@@ -81,21 +82,21 @@
     }
 
 private:
-    struct driver_state
+    struct controller_state
     {
-        rollout_controller driver;
+        rollout_controller controller;
         bool writeInFlight = false;
     };
 
-    void stepDriver(timestamp now, std::int64_t wallSeconds, const pool &table,
-                    request_coordinator &requests);
-    std::vector<rollout_worker> workersFor(const pool &table) const;
+    void stepController(timestamp now, std::int64_t wallSeconds, const pool &poolConfig,
+                        request_coordinator &requests);
+    std::vector<rollout_worker> workersFor(const pool &poolConfig) const;
 
     const lease_view &m_leases;
     std::shared_ptr<const configuration_snapshot> m_configuration;
     bool m_loaded = false;
     std::map<std::string, std::pair<std::uint64_t, rollout_record>> m_records;
-    std::map<std::string, driver_state> m_drivers;
+    std::map<std::string, controller_state> m_controllers;
     std::map<std::string, rollout_worker, std::less<>> m_servers;
     std::vector<rollout_write> m_writes;
     std::vector<server_order> m_orders;
--- a/libs/control/src/control_node.cpp
+++ b/libs/control/src/control_node.cpp
@@ -8,7 +8,7 @@
 #include <span>
 #include <utility>
 
-#include <control/entry_selection.h>
+#include <control/discovery.h>
 #include <core/json.h>
 #include <core/rendezvous.h>
 
@@ -36,10 +36,10 @@
 
 /// Delay between two attempts to fetch a configuration object.
 constexpr duration fetchRetryInterval = std::chrono::milliseconds(100);
-/// Random peers asked before the announcing instance, which all instances would otherwise ask at
-/// once.
+/// Number of attempts with random peers before the announcing instance is asked, so that not all
+/// instances ask it at once.
 constexpr int maxRandomPeerFetches = 3;
-/// Attempts with peers before the platform is asked.
+/// Number of attempts with peers before the platform is asked.
 constexpr int maxPeerFetches = 6;
 
 /// Instances per zone that watch the configuration: two, so that one may fail.
@@ -303,17 +303,17 @@
 
 void control_node::tickPolls(timestamp now)
 {
-    for (const pool &table : m_activeConfiguration->pools.pools) {
-        if (table.kind != pool_kind::Engine)
+    for (const pool &poolConfig : m_activeConfiguration->pools.pools) {
+        if (poolConfig.kind != pool_kind::Engine)
             continue;
-        for (const backend_server &each : table.servers) {
+        for (const backend_server &each : poolConfig.servers) {
             if (m_pollsInFlight.contains(each.name) || now < m_nextPoll[each.name])
                 continue;
             m_nextPoll[each.name] = now + pollPeriod;
             m_pollsInFlight.insert(each.name);
             m_actions.push_back(server_poll {.server = each.name,
                                              .address = each.address,
-                                             .credential = table.credential,
+                                             .credential = poolConfig.credential,
                                              .fromSequence = m_eventSequences[each.name]});
         }
     }
@@ -342,10 +342,10 @@
     m_nextOutcomePublish = now + outcomePublishPeriod;
     for (const std::pair<const request_coordinator::outcome_key, outcome_counts> &each :
          m_requestCoordinator.localOutcomes()) {
-        // Other instances need these outcomes only to judge a rollout.
-        const pool *table = m_activeConfiguration->pools.poolNamed(each.first.pool);
+        // Other instances need these outcomes only to evaluate a rollout.
+        const pool *poolConfig = m_activeConfiguration->pools.poolNamed(each.first.pool);
         outcome_counts &published = m_publishedOutcomes[each.first];
-        if (!table || !table->rollout || published == each.second)
+        if (!poolConfig || !poolConfig->rollout || published == each.second)
             continue;
         published = each.second;
         m_members.publish({.topic = topics::evidence,
@@ -407,10 +407,10 @@
 std::optional<peer_answer> control_node::onPeerRequest(timestamp now, std::uint64_t token,
                                                        const peer_request &request)
 {
-    if (const confirm_request *ask = std::get_if<confirm_request>(&request))
-        return m_leases.onRequest(now, *ask);
-    if (const grant_request *ask = std::get_if<grant_request>(&request))
-        return m_limits.onRequest(now, *ask);
+    if (const confirm_request *confirm = std::get_if<confirm_request>(&request))
+        return m_leases.onRequest(now, *confirm);
+    if (const grant_request *grant = std::get_if<grant_request>(&request))
+        return m_limits.onRequest(now, *grant);
     if (const config_fetch *fetch = std::get_if<config_fetch>(&request)) {
         const object *found = m_configuration.find(fetch->name);
         return found ? *found : object {.name = fetch->name};
@@ -777,9 +777,9 @@
 {
     std::vector<std::string> names;
     for (const member &each : m_members.members()) {
-        const bool isNear =
+        const bool isInOwnZone =
             each.info.zone == m_options.self.zone && each.info.region == m_options.self.region;
-        if (isNear && each.state == member_state::Alive && !each.info.leaving)
+        if (isInOwnZone && each.state == member_state::Alive && !each.info.leaving)
             names.push_back(each.info.name);
     }
     const std::vector<std::size_t> order = rendezvousOrder("watcher", names);
--- a/libs/control/src/entry_selection.cpp
+++ b/libs/control/src/discovery.cpp
@@ -1,4 +1,4 @@
-#include <control/entry_selection.h>
+#include <control/discovery.h>
 
 #include <algorithm>
 #include <cmath>
@@ -8,7 +8,8 @@
 
 namespace trefoil {
 
-std::vector<member> rankEntryInstances(std::span<const member> members, const entry_query &query)
+std::vector<member> rankInstancesForCaller(std::span<const member> members,
+                                           const discovery_query &query)
 {
     std::vector<member> ranked;
     for (const member &each : members) {
@@ -23,10 +24,10 @@
         const bool isOwnerB = b.info.name == query.owner;
         if (isOwnerA != isOwnerB)
             return isOwnerA;
-        const bool isNearA = a.info.zone == query.zone;
-        const bool isNearB = b.info.zone == query.zone;
-        if (isNearA != isNearB)
-            return isNearA;
+        const bool isSameZoneA = a.info.zone == query.zone;
+        const bool isSameZoneB = b.info.zone == query.zone;
+        if (isSameZoneA != isSameZoneB)
+            return isSameZoneA;
         return weight(a) > weight(b);
     });
     const std::size_t subsetSize = std::min(query.subsetSize, ranked.size());
@@ -38,7 +39,7 @@
     return ranked;
 }
 
-std::size_t entrySubsetSize(double rate, double totalRate, std::size_t instances)
+std::size_t discoverySubsetSize(double rate, double totalRate, std::size_t instances)
 {
     if (totalRate <= 0 || instances == 0)
         return 1;
--- a/libs/control/src/peer_codec.cpp
+++ b/libs/control/src/peer_codec.cpp
@@ -146,12 +146,12 @@
             message["h"].append(Json::UInt64(hash));
         return message;
     }
-    Json::Value operator()(const confirm_request &ask) const
+    Json::Value operator()(const confirm_request &request) const
     {
         Json::Value message = newMessage("confirm");
-        message["from"] = ask.from;
+        message["from"] = request.from;
         message["items"] = Json::Value(Json::arrayValue);
-        for (const confirm_request::item &item : ask.items) {
+        for (const confirm_request::item &item : request.items) {
             Json::Value entry(Json::arrayValue);
             entry.append(item.key);
             entry.append(Json::UInt64(item.epoch));
@@ -159,16 +159,16 @@
         }
         return message;
     }
-    Json::Value operator()(const grant_request &ask) const
+    Json::Value operator()(const grant_request &request) const
     {
         Json::Value message = newMessage("grant");
-        message["from"] = ask.from;
-        message["team"] = ask.team;
-        message["needed"] = ask.needed;
-        message["queued"] = ask.queued;
-        message["extra"] = ask.extra;
-        if (!ask.settled.empty())
-            message["settled"] = settledToJson(ask.settled);
+        message["from"] = request.from;
+        message["team"] = request.team;
+        message["needed"] = request.needed;
+        message["queued"] = request.queued;
+        message["extra"] = request.extra;
+        if (!request.settled.empty())
+            message["settled"] = settledToJson(request.settled);
         return message;
     }
     Json::Value operator()(const config_fetch &fetch) const
@@ -254,28 +254,28 @@
 
 result<peer_request> parseConfirm(const Json::Value &message)
 {
-    confirm_request ask {.from = textOr(message, "from"), .items = {}};
+    confirm_request request {.from = textOr(message, "from"), .items = {}};
     if (!message["items"].isArray())
         return malformedMessage("confirm");
     for (const Json::Value &entry : message["items"]) {
         if (!entry.isArray() || entry.size() != 2 || !entry[0].isString() || !entry[1].isUInt64())
             return malformedMessage("confirm");
-        ask.items.push_back({.key = entry[0].asString(), .epoch = entry[1].asUInt64()});
+        request.items.push_back({.key = entry[0].asString(), .epoch = entry[1].asUInt64()});
     }
-    return ask;
+    return request;
 }
 
 result<peer_request> parseGrant(const Json::Value &message)
 {
-    grant_request ask {.from = textOr(message, "from"),
-                       .team = textOr(message, "team"),
-                       .needed = numberOr(message, "needed"),
-                       .queued = numberOr(message, "queued"),
-                       .extra = numberOr(message, "extra"),
-                       .settled = settledFromJson(message["settled"])};
-    if (ask.team.empty() || ask.needed < 0 || ask.queued < 0 || ask.extra < 0)
+    grant_request request {.from = textOr(message, "from"),
+                           .team = textOr(message, "team"),
+                           .needed = numberOr(message, "needed"),
+                           .queued = numberOr(message, "queued"),
+                           .extra = numberOr(message, "extra"),
+                           .settled = settledFromJson(message["settled"])};
+    if (request.team.empty() || request.needed < 0 || request.queued < 0 || request.extra < 0)
         return malformedMessage("grant");
-    return ask;
+    return request;
 }
 
 result<peer_answer> parseConfirmed(const Json::Value &message)
--- a/libs/control/src/request_coordinator.cpp
+++ b/libs/control/src/request_coordinator.cpp
@@ -68,12 +68,12 @@
 
 void request_coordinator::updateServers(const std::string &poolName)
 {
-    const pool *table = m_configuration->pools.poolNamed(poolName);
+    const pool *poolConfig = m_configuration->pools.poolNamed(poolName);
     const auto found = m_pools.find(poolName);
-    if (!table || found == m_pools.end())
+    if (!poolConfig || found == m_pools.end())
         return;
     std::vector<placement_server> servers;
-    for (const backend_server &each : table->servers) {
+    for (const backend_server &each : poolConfig->servers) {
         const auto reported = m_reportedVersions.find(each.name);
         const bool isLoading = reported != m_reportedVersions.end() && reported->second.empty();
         servers.push_back(
@@ -335,7 +335,7 @@
     if (found == m_rollouts.end() || found->second.stage == rollout_stage::RolledBack)
         return 0;
     // An instance that sees the new version fail stops sending to it without waiting for the
-    // driver.
+    // controller.
     evidence_verdict verdict;
     const rollout_record &record = found->second;
     if (record.stage == rollout_stage::Moving
@@ -383,9 +383,9 @@
                 .retryAfter = defaultRetryAfter});
         return;
     }
-    const struct pool *table = m_configuration->pools.poolNamed(state.request.pool);
+    const struct pool *poolConfig = m_configuration->pools.poolNamed(state.request.pool);
     const auto server =
-        std::find_if(table->servers.begin(), table->servers.end(),
+        std::find_if(poolConfig->servers.begin(), poolConfig->servers.end(),
                      [&](const backend_server &s) { return s.name == choice->server; });
     pool->second.noteSent(now, choice->server, state.request.chain, choice->estimatedCachedBlocks);
     state.stage = request_stage::Sent;
--- a/libs/control/src/rollout_coordinator.cpp
+++ b/libs/control/src/rollout_coordinator.cpp
@@ -9,7 +9,7 @@
 
 namespace {
 
-/// Minimum time until the deadline that a new driver is given, also if the configured deadline is
+/// Minimum time that a new controller has until its deadline, even if the configured deadline is
 /// nearer or has passed.
 constexpr duration minTimeToDeadline = std::chrono::seconds(10);
 
@@ -32,10 +32,11 @@
     std::shared_ptr<const configuration_snapshot> configuration)
 {
     m_configuration = std::move(configuration);
-    std::erase_if(m_drivers, [&](const auto &each) {
-        const pool *table = m_configuration->pools.poolNamed(each.first);
-        return !table || !table->rollout || table->rollout->from != each.second.driver.record().from
-            || table->rollout->to != each.second.driver.record().to;
+    std::erase_if(m_controllers, [&](const auto &each) {
+        const pool *poolConfig = m_configuration->pools.poolNamed(each.first);
+        return !poolConfig || !poolConfig->rollout
+            || poolConfig->rollout->from != each.second.controller.record().from
+            || poolConfig->rollout->to != each.second.controller.record().to;
     });
 }
 
@@ -52,16 +53,16 @@
 void rollout_coordinator::onWritten(const std::string &pool, write_outcome outcome,
                                     std::uint64_t version)
 {
-    const auto found = m_drivers.find(pool);
-    if (found == m_drivers.end())
+    const auto found = m_controllers.find(pool);
+    if (found == m_controllers.end())
         return;
     found->second.writeInFlight = false;
     if (outcome == write_outcome::Done)
-        m_records[pool] = {version, found->second.driver.record()};
+        m_records[pool] = {version, found->second.controller.record()};
     // After a conflict another instance wrote the record, and after an unknown outcome this write
-    // may have succeeded: a new driver starts from the stored record.
+    // may have succeeded: a new controller starts from the stored record.
     else if (outcome != write_outcome::Refused)
-        m_drivers.erase(found);
+        m_controllers.erase(found);
 }
 
 void rollout_coordinator::onServerState(const std::string &server, const std::string &version,
@@ -72,15 +73,15 @@
 
 void rollout_coordinator::onOrderFailed(const std::string &pool, const std::string &server)
 {
-    const auto found = m_drivers.find(pool);
-    if (found != m_drivers.end())
-        found->second.driver.onOrderFailed(server);
+    const auto found = m_controllers.find(pool);
+    if (found != m_controllers.end())
+        found->second.controller.onOrderFailed(server);
 }
 
-std::vector<rollout_worker> rollout_coordinator::workersFor(const pool &table) const
+std::vector<rollout_worker> rollout_coordinator::workersFor(const pool &poolConfig) const
 {
     std::vector<rollout_worker> workers;
-    for (const backend_server &each : table.servers) {
+    for (const backend_server &each : poolConfig.servers) {
         if (each.leaving)
             continue;
         const auto reported = m_servers.find(each.name);
@@ -98,58 +99,61 @@
 {
     if (!m_configuration || !m_loaded)
         return;
-    for (const pool &table : m_configuration->pools.pools) {
-        if (!table.rollout)
+    for (const pool &poolConfig : m_configuration->pools.pools) {
+        if (!poolConfig.rollout)
             continue;
-        if (m_leases.holds(now, rolloutLeaseKey(table.name)))
-            stepDriver(now, wallSeconds, table, requests);
+        if (m_leases.holds(now, rolloutLeaseKey(poolConfig.name)))
+            stepController(now, wallSeconds, poolConfig, requests);
         else
-            m_drivers.erase(table.name);
+            m_controllers.erase(poolConfig.name);
     }
 }
 
-void rollout_coordinator::stepDriver(timestamp now, std::int64_t wallSeconds, const pool &table,
-                                     request_coordinator &requests)
+void rollout_coordinator::stepController(timestamp now, std::int64_t wallSeconds,
+                                         const pool &poolConfig, request_coordinator &requests)
 {
-    const std::string key = rolloutLeaseKey(table.name);
+    const std::string key = rolloutLeaseKey(poolConfig.name);
     const std::uint64_t epoch = m_leases.record(key).value_or(lease_record {}).epoch;
-    const auto known = m_records.find(table.name);
+    const auto known = m_records.find(poolConfig.name);
     std::optional<rollout_record> record;
     if (known != m_records.end())
         record = known->second.second;
-    auto found = m_drivers.find(table.name);
-    if (found == m_drivers.end()) {
-        const std::int64_t remaining = table.rollout->deadline - wallSeconds;
+    auto found = m_controllers.find(poolConfig.name);
+    if (found == m_controllers.end()) {
+        const std::int64_t remaining = poolConfig.rollout->deadline - wallSeconds;
         const timestamp deadline =
             now + std::max<duration>(std::chrono::seconds(remaining), minTimeToDeadline);
-        rollout_controller driver({.from = table.rollout->from,
-                                   .to = table.rollout->to,
-                                   .start = now,
-                                   .deadline = deadline},
-                                  record);
-        found = m_drivers.emplace(table.name, driver_state {.driver = std::move(driver)}).first;
+        rollout_controller controller({.from = poolConfig.rollout->from,
+                                       .to = poolConfig.rollout->to,
+                                       .start = now,
+                                       .deadline = deadline},
+                                      record);
+        found =
+            m_controllers
+                .emplace(poolConfig.name, controller_state {.controller = std::move(controller)})
+                .first;
     }
-    driver_state &state = found->second;
-    state.driver.setWorkers(workersFor(table));
+    controller_state &state = found->second;
+    state.controller.setWorkers(workersFor(poolConfig));
     const std::vector<load_order> orders =
-        state.driver.tick(now, epoch, requests.evidenceFor(table.name));
+        state.controller.tick(now, epoch, requests.evidenceFor(poolConfig.name));
     for (const load_order &order : orders) {
         const auto server =
-            std::find_if(table.servers.begin(), table.servers.end(),
+            std::find_if(poolConfig.servers.begin(), poolConfig.servers.end(),
                          [&](const backend_server &s) { return s.name == order.worker; });
-        m_orders.push_back({.pool = table.name,
+        m_orders.push_back({.pool = poolConfig.name,
                             .order = order,
                             .address = server->address,
-                            .credential = table.credential,
+                            .credential = poolConfig.credential,
                             .leaseKey = key});
     }
     // The traffic share takes effect only once the record is stored: the conditional write fails
-    // for a driver that lost its lease.
-    const bool changed = !record || *record != state.driver.record();
+    // for a controller that lost its lease.
+    const bool changed = !record || *record != state.controller.record();
     if (changed && !state.writeInFlight) {
         state.writeInFlight = true;
-        m_writes.push_back({.pool = table.name,
-                            .record = state.driver.record(),
+        m_writes.push_back({.pool = poolConfig.name,
+                            .record = state.controller.record(),
                             .expected = known == m_records.end() ? 0 : known->second.first});
     }
 }
--- a/trefoilrouter/src/callers_handler.cpp
+++ b/trefoilrouter/src/callers_handler.cpp
@@ -12,7 +12,7 @@
 #include <Poco/Net/HTTPServerRequestImpl.h>
 #include <Poco/Net/HTTPServerResponse.h>
 #include <Poco/URI.h>
-#include <control/entry_selection.h>
+#include <control/discovery.h>
 #include <core/json.h>
 #include <telemetry/log.h>
 
@@ -275,13 +275,13 @@
         const team *own = routes.teamNamed(m_team);
         const double rate = own ? static_cast<double>(own->rate) : 0;
         const auto owner = m_snapshot->shardOwners.find(shardKey(m_team, m_snapshot->limitShards));
-        const std::vector<member> order = rankEntryInstances(
+        const std::vector<member> order = rankInstancesForCaller(
             m_snapshot->members,
             {.team = m_team.empty() && target ? std::string_view(target->name) : m_team,
              .caller = m_keyDigest,
              .owner = owner == m_snapshot->shardOwners.end() ? std::string_view() : owner->second,
              .zone = m_options.zone,
-             .subsetSize = entrySubsetSize(rate, rates, m_snapshot->members.size())});
+             .subsetSize = discoverySubsetSize(rate, rates, m_snapshot->members.size())});
         Json::Value answer(Json::objectValue);
         answer["validity_seconds"] = Json::Int64(toMilliseconds(entryValidity) / 1000);
         answer["entries"] = Json::Value(Json::arrayValue);
