--- a/examples/embedding/main.cpp
+++ b/examples/embedding/main.cpp
@@ -63,7 +63,7 @@
         for (const lease_event &event : self.keeper.takeEvents())
             self.limits.onLease(now, event);
         for (const grant_call &call : self.limits.tick(now)) {
-            const grant_answer answer = fleet.at(call.to).limits.onRequest(now, call.ask);
+            const grant_answer answer = fleet.at(call.to).limits.onRequest(now, call.request);
             self.limits.onAnswer(now, call.id, answer);
         }
     }
--- a/libs/control/benchmarks/bench_capacity.cpp
+++ b/libs/control/benchmarks/bench_capacity.cpp
@@ -360,7 +360,7 @@
                                               .epoch = 3,
                                               .grant = 78,
                                               .amount = 16000,
-                                              .life = std::chrono::seconds(2)};
+                                              .lifetime = std::chrono::seconds(2)};
     const peer_request confirm = confirm_request {.from = "entry-1", .items = {{"limits/12", 4}}};
     const member announced {.info = {.name = "entry-1",
                                      .zone = "a",
--- a/libs/control/src/control_node.cpp
+++ b/libs/control/src/control_node.cpp
@@ -261,7 +261,7 @@
         if (address.empty())
             m_limits.onFailure(now, call.id);
         else
-            sendPeer(address, std::move(call.ask), grant_context {.id = call.id});
+            sendPeer(address, std::move(call.request), grant_context {.id = call.id});
     }
     m_requestCoordinator.processAdmissions(now);
 }
--- a/libs/control/src/peer_codec.cpp
+++ b/libs/control/src/peer_codec.cpp
@@ -209,7 +209,7 @@
         message["epoch"] = Json::UInt64(answer.epoch);
         message["grant"] = Json::UInt64(answer.grant);
         message["amount"] = answer.amount;
-        message["life_ms"] = Json::Int64(toMilliseconds(answer.life));
+        message["life_ms"] = Json::Int64(toMilliseconds(answer.lifetime));
         message["retry_ms"] = Json::Int64(toMilliseconds(answer.retryAfter));
         return message;
     }
@@ -305,7 +305,7 @@
     answer.epoch = integerOr(message, "epoch");
     answer.grant = integerOr(message, "grant");
     answer.amount = numberOr(message, "amount");
-    answer.life = std::chrono::milliseconds(integerOr(message, "life_ms"));
+    answer.lifetime = std::chrono::milliseconds(integerOr(message, "life_ms"));
     answer.retryAfter = std::chrono::milliseconds(integerOr(message, "retry_ms"));
     return answer;
 }
--- a/libs/limits/benchmarks/bench_limits.cpp
+++ b/libs/limits/benchmarks/bench_limits.cpp
@@ -6,7 +6,7 @@
 
 using namespace trefoil;
 
-/// Compares the strategies to enforce limits in simulations with a fixed seed.
+/// Compares the strategies for enforcing limits in simulations with a fixed seed.
 int main(int argc, char **argv)
 {
     struct named_strategy
--- a/libs/limits/benchmarks/limiter_simulation.cpp
+++ b/libs/limits/benchmarks/limiter_simulation.cpp
@@ -7,9 +7,10 @@
 
 namespace {
 
-constexpr duration stepTime = std::chrono::milliseconds(5);
-constexpr duration leaseLife = std::chrono::seconds(5);
-constexpr duration renewPeriod = std::chrono::milliseconds(1500);
+constexpr duration stepDuration = std::chrono::milliseconds(5);
+constexpr duration leaseLifetime = std::chrono::seconds(5);
+constexpr duration renewalPeriod = std::chrono::milliseconds(1500);
+/// Time after the expiry of a lease before another instance may take it.
 constexpr duration leaseMargin = std::chrono::milliseconds(200);
 
 std::string zoneOf(int index) { return std::string(1, static_cast<char>('a' + index % 3)); }
@@ -35,7 +36,7 @@
     for (const team_traffic &team : m_scenario.teams) {
         m_limits[team.name] = team.limit;
         m_highestLimits[team.name] = team.limit;
-        m_ideal.emplace(team.name, token_bucket(team.limit, m_now, team.limit.burst));
+        m_idealBuckets.emplace(team.name, token_bucket(team.limit, m_now, team.limit.burst));
     }
     m_instances.resize(instanceCount);
     for (int i = 0; i < instanceCount; ++i)
@@ -64,8 +65,8 @@
             m_now);
         leases = self.manager.get();
     } else {
-        self.lease = std::make_unique<platform_lease>();
-        leases = self.lease.get();
+        self.platformLeases = std::make_unique<platform_leases>();
+        leases = self.platformLeases.get();
     }
     self.limits = std::make_unique<rate_limiter>(
         rate_limiter_options {.self = self.name, .shards = shards}, *leases);
@@ -79,9 +80,9 @@
 
 void limiter_simulation::restart(int instance) { startInstance(instance); }
 
-void limiter_simulation::freeze(int instance, bool frozen)
+void limiter_simulation::setPaused(int instance, bool paused)
 {
-    m_instances[static_cast<std::size_t>(instance)].frozen = frozen;
+    m_instances[static_cast<std::size_t>(instance)].paused = paused;
 }
 
 void limiter_simulation::setLimit(const std::string &team, token_limit limit)
@@ -89,7 +90,7 @@
     m_limits[team] = limit;
     m_highestLimits[team].rate = std::max(m_highestLimits[team].rate, limit.rate);
     m_highestLimits[team].burst = std::max(m_highestLimits[team].burst, limit.burst);
-    m_ideal.at(team).setLimit(m_now, limit);
+    m_idealBuckets.at(team).setLimit(m_now, limit);
     // The instances receive the configuration one after the other.
     for (int i = 0; i < instanceCount; ++i) {
         schedule(std::chrono::milliseconds(200 * i), [this, i] {
@@ -120,11 +121,11 @@
 {
     const std::string key = shardKey(team, shards);
     if (m_strategy == limit_strategy::PlatformLease) {
-        const auto found = m_leases.find(key);
-        return found == m_leases.end() ? -1 : indexOf(found->second.record.owner);
+        const auto found = m_platformLeases.find(key);
+        return found == m_platformLeases.end() ? -1 : indexOf(found->second.record.owner);
     }
-    const auto found = m_objects.find(key);
-    return found == m_objects.end() ? -1 : indexOf(found->second.second.owner);
+    const auto found = m_leaseRecords.find(key);
+    return found == m_leaseRecords.end() ? -1 : indexOf(found->second.second.owner);
 }
 
 bool limiter_simulation::chance(double share)
@@ -147,7 +148,7 @@
     simulated_instance &self = m_instances[static_cast<std::size_t>(index)];
     if (!self.alive)
         return;
-    if (self.frozen) {
+    if (self.paused) {
         schedule(std::chrono::milliseconds(50),
                  [this, index, action = std::move(action)] { runOn(index, action); });
         return;
@@ -196,7 +197,7 @@
     callPeer(
         from, call.to,
         [this, from, call](simulated_instance &target) {
-            const grant_answer answer = target.limits->onRequest(m_now, call.ask);
+            const grant_answer answer = target.limits->onRequest(m_now, call.request);
             ++m_messages;
             schedule(networkDelay(), [this, from, call, answer] {
                 runOn(from, [this, call, answer](simulated_instance &self) {
@@ -220,11 +221,11 @@
             });
         });
     };
-    if (platformOut || cutFromPlatform.contains(from)) {
+    if (isPlatformDown || cutFromPlatform.contains(from)) {
         answer(write_outcome::Refused, 0);
         return;
     }
-    std::pair<std::uint64_t, lease_record> &current = m_objects[write.key];
+    std::pair<std::uint64_t, lease_record> &current = m_leaseRecords[write.key];
     if (current.first != write.expected) {
         answer(write_outcome::Conflict, 0);
         return;
@@ -263,9 +264,9 @@
         } else {
             const std::string key = std::get<record_read>(action).key;
             ++m_platformCalls;
-            if (platformOut || cutFromPlatform.contains(index))
+            if (isPlatformDown || cutFromPlatform.contains(index))
                 continue;
-            const std::pair<std::uint64_t, lease_record> item = m_objects[key];
+            const std::pair<std::uint64_t, lease_record> item = m_leaseRecords[key];
             schedule(std::chrono::milliseconds(5), [this, index, key, item] {
                 runOn(index, [this, key, item](simulated_instance &reader) {
                     reader.manager->onRecord(m_now, key, item.first,
@@ -281,31 +282,33 @@
 
 void limiter_simulation::stepPlatformLease(simulated_instance &self, int index)
 {
-    if (m_now < self.lease->nextRenewal)
+    if (m_now < self.platformLeases->nextRenewal)
         return;
-    self.lease->nextRenewal = m_now + renewPeriod;
+    self.platformLeases->nextRenewal = m_now + renewalPeriod;
     const timestamp sentAt = m_now;
     for (const std::string &key : shardKeys(shards)) {
-        const auto known = m_leases.find(key);
-        const bool isOwner = known != m_leases.end() && known->second.record.owner == self.name;
-        const bool isFree = known == m_leases.end() || m_now > known->second.expiry + leaseMargin;
-        if (platformOut || cutFromPlatform.contains(index)) {
+        const auto known = m_platformLeases.find(key);
+        const bool isOwner =
+            known != m_platformLeases.end() && known->second.record.owner == self.name;
+        const bool isFree =
+            known == m_platformLeases.end() || m_now > known->second.expiry + leaseMargin;
+        if (isPlatformDown || cutFromPlatform.contains(index)) {
             m_platformCalls += isOwner ? 1 : 0;
             continue;
         }
-        if (known != m_leases.end())
-            self.lease->knownRecords[key] = known->second.record;
+        if (known != m_platformLeases.end())
+            self.platformLeases->knownRecords[key] = known->second.record;
         if (!isOwner && !isFree)
             continue;
         ++m_platformCalls;
-        platform_lease::stored_lease &item = m_leases[key];
+        platform_leases::stored_lease &item = m_platformLeases[key];
         const bool isFirst = item.record.epoch == 0;
-        const bool acquired = !isOwner || !self.lease->holds(m_now, key);
+        const bool acquired = !isOwner || !self.platformLeases->holds(m_now, key);
         if (acquired)
             item.record = {.epoch = item.record.epoch + 1, .owner = self.name, .successors = {}};
-        item.expiry = sentAt + leaseLife;
-        self.lease->knownRecords[key] = item.record;
-        self.lease->heldUntil[key] = sentAt + leaseLife;
+        item.expiry = sentAt + leaseLifetime;
+        self.platformLeases->knownRecords[key] = item.record;
+        self.platformLeases->heldUntil[key] = sentAt + leaseLifetime;
         if (acquired)
             self.limits->onLease(m_now,
                                  {.kind = lease_event::change::Acquired,
@@ -382,11 +385,11 @@
     // A caller that can't connect, or gets no answer, tries the next address.
     for (int i = 0; i < instanceCount; ++i) {
         const simulated_instance &target = m_instances[static_cast<std::size_t>(item.instance)];
-        if (target.alive && !target.frozen)
+        if (target.alive && !target.paused)
             break;
         item.instance = (item.instance + 1) % instanceCount;
     }
-    token_bucket &ideal = m_ideal.at(team.name);
+    token_bucket &ideal = m_idealBuckets.at(team.name);
     const std::optional<std::uint64_t> idealId = ideal.reserve(m_now, item.reserved);
     item.idealAdmitted = idealId.has_value();
     if (idealId) {
@@ -422,7 +425,7 @@
     for (const team_traffic &team : m_scenario.teams) {
         // Uses the limit at the start: callers don't slow down when the limit changes.
         const double perSecond = team.limit.rate * team.load / meanTokens;
-        const double perStep = perSecond * toSeconds(stepTime);
+        const double perStep = perSecond * toSeconds(stepDuration);
         const int count = std::poisson_distribution<int>(perStep)(m_random);
         for (int i = 0; i < count; ++i)
             offerRequest(team);
@@ -432,7 +435,7 @@
 void limiter_simulation::stepInstance(int index)
 {
     simulated_instance &self = m_instances[static_cast<std::size_t>(index)];
-    if (!self.alive || self.frozen || !self.limits)
+    if (!self.alive || self.paused || !self.limits)
         return;
     if (self.manager)
         stepConfirmations(self, index);
@@ -445,7 +448,7 @@
 
 void limiter_simulation::step()
 {
-    m_now += stepTime;
+    m_now += stepDuration;
     while (!m_events.empty() && m_events.begin()->first <= m_now) {
         const std::function<void()> action = std::move(m_events.begin()->second);
         m_events.erase(m_events.begin());
@@ -478,8 +481,8 @@
 
 simulation_result limiter_simulation::run()
 {
-    constexpr double settleSeconds = 12;
-    for (double t = 0; t < settleSeconds; t += toSeconds(stepTime))
+    constexpr double settlingSeconds = 12;
+    for (double t = 0; t < settlingSeconds; t += toSeconds(stepDuration))
         step();
     m_messages = 0;
     m_platformCalls = 0;
@@ -494,7 +497,7 @@
     outcome.messagesPerInstanceSecond =
         static_cast<double>(m_messages) / instanceCount / m_scenario.seconds;
     outcome.platformCallsPerSecond = static_cast<double>(m_platformCalls) / m_scenario.seconds;
-    for (double t = 0; t < settleSeconds; t += toSeconds(stepTime))
+    for (double t = 0; t < settlingSeconds; t += toSeconds(stepDuration))
         step();
     outcome.requests = m_idealAdmitted;
     outcome.refusedWithinRate = static_cast<double>(m_refusedWithinRate)
@@ -559,10 +562,10 @@
         [owner = -1](limiter_simulation &simulation, double seconds) mutable {
             if (owner < 0 && seconds >= 40) {
                 owner = std::max(0, simulation.ownerOf(largeTeam(simulation)));
-                simulation.freeze(owner, true);
+                simulation.setPaused(owner, true);
             }
             if (owner >= 0 && seconds >= 50)
-                simulation.freeze(owner, false);
+                simulation.setPaused(owner, false);
         });
     add("owner cut off from the platform", 0.7, once(40, [](limiter_simulation &simulation) {
             simulation.cutFromPlatform.insert(
@@ -576,8 +579,8 @@
                   }),
              once(60, [](limiter_simulation &simulation) { simulation.cutFromPeers.clear(); })));
     add("platform out for 10 minutes", 0.7,
-        both(once(20, [](limiter_simulation &simulation) { simulation.platformOut = true; }),
-             once(620, [](limiter_simulation &simulation) { simulation.platformOut = false; })));
+        both(once(20, [](limiter_simulation &simulation) { simulation.isPlatformDown = true; }),
+             once(620, [](limiter_simulation &simulation) { simulation.isPlatformDown = false; })));
     scenarios.back().seconds = 660;
     add("two takeovers race", 0.7, once(40, [](limiter_simulation &simulation) {
             const int owner = std::max(0, simulation.ownerOf(largeTeam(simulation)));
@@ -602,13 +605,14 @@
                  simulation.setLimit("bream", {.rate = 120000, .burst = 960000});
              })));
     add("owner crashes while the platform is out", 0.7,
-        both(once(30, [](limiter_simulation &simulation) { simulation.platformOut = true; }),
+        both(once(30, [](limiter_simulation &simulation) { simulation.isPlatformDown = true; }),
              both(once(40,
                        [](limiter_simulation &simulation) {
                            simulation.kill(std::max(0, simulation.ownerOf(largeTeam(simulation))));
                        }),
-                  once(60,
-                       [](limiter_simulation &simulation) { simulation.platformOut = false; }))));
+                  once(60, [](limiter_simulation &simulation) {
+                      simulation.isPlatformDown = false;
+                  }))));
     return scenarios;
 }
 
--- a/libs/limits/benchmarks/limiter_simulation.h
+++ b/libs/limits/benchmarks/limiter_simulation.h
@@ -26,7 +26,7 @@
 
 /// Leases that are kept in the platform alone and renewed there before they expire: the baseline
 /// for confirmations by successors.
-class platform_lease : public lease_view
+class platform_leases : public lease_view
 {
 public:
     struct stored_lease
@@ -103,10 +103,10 @@
     /// @{
     void kill(int instance);
     void restart(int instance);
-    void freeze(int instance, bool frozen);
+    void setPaused(int instance, bool paused);
     int ownerOf(const std::string &team) const;
     void setLimit(const std::string &team, token_limit limit);
-    bool platformOut = false;
+    bool isPlatformDown = false;
     double lostAnswerShare = 0;
     std::set<int> cutFromPlatform;
     std::set<int> cutFromPeers;
@@ -121,9 +121,9 @@
     {
         std::string name;
         bool alive = true;
-        bool frozen = false;
+        bool paused = false;
         std::unique_ptr<lease_manager> manager;
-        std::unique_ptr<platform_lease> lease;
+        std::unique_ptr<platform_leases> platformLeases;
         std::unique_ptr<rate_limiter> limits;
         std::map<std::string, token_bucket> staticBuckets;
     };
@@ -176,13 +176,13 @@
     timestamp m_now = m_start;
     std::vector<simulated_instance> m_instances;
     std::multimap<timestamp, std::function<void()>> m_events;
-    std::map<std::string, std::pair<std::uint64_t, lease_record>> m_objects;
-    std::map<std::string, platform_lease::stored_lease> m_leases;
+    std::map<std::string, std::pair<std::uint64_t, lease_record>> m_leaseRecords;
+    std::map<std::string, platform_leases::stored_lease> m_platformLeases;
     std::uint64_t m_version = 0;
     std::map<std::string, token_limit, std::less<>> m_limits;
     /// Highest limit of each team during the run; overshoot is measured against it.
     std::map<std::string, token_limit> m_highestLimits;
-    std::map<std::string, token_bucket> m_ideal;
+    std::map<std::string, token_bucket> m_idealBuckets;
     std::map<std::uint64_t, request> m_requests;
     std::map<std::string, std::vector<token_usage>> m_usages;
     std::map<std::string, double> m_idealTokens;
--- a/libs/limits/include/limits/rate_limiter.h
+++ b/libs/limits/include/limits/rate_limiter.h
@@ -38,18 +38,18 @@
     std::uint64_t grant = 0;
     double amount = 0;
     /// Lifetime of the grant, which the requesting instance counts from sending its request.
-    duration life {};
+    duration lifetime {};
     /// With Insufficient: time to wait before the next request.
     duration retryAfter {};
 };
 
-/// Call to the owner of a shard. The caller of tick() sends it and reports the answer or failure
+/// Call to the owner of a shard. The embedding program sends it and reports the answer or failure
 /// with the same id.
 struct grant_call
 {
     std::uint64_t id = 0;
     std::string to;
-    grant_request ask;
+    grant_request request;
 };
 
 /// Decision on the admission of a request. TooLarge: it needs more tokens than the team's burst.
@@ -76,8 +76,8 @@
 {
     /// Name of this instance.
     std::string self;
-    /// Number of limit shards, the same on all instances. Each team is assigned to one by the hash
-    /// of its name.
+    /// Number of limit shards; must be the same on all instances. Each team is assigned to one by
+    /// the hash of its name.
     int shards = 32;
     /// Time for which a grant may be spent.
     duration grantLifetime = std::chrono::seconds(2);
@@ -171,7 +171,7 @@
         /// Id of the grant call in flight, 0 for none.
         std::uint64_t pendingCall = 0;
         timestamp nextCallAt;
-        /// End of the period in which the shard is treated as changing its owner.
+        /// Time until which the shard is treated as changing its owner.
         timestamp ownerChangeUntil;
         std::vector<grant_settlement> settled;
     };
@@ -180,7 +180,8 @@
     {
         std::string team;
         double tokens = 0;
-        std::uint64_t reservation = 0; // in the bucket of this epoch
+        /// Identifier of the reservation, in the bucket of @c epoch.
+        std::uint64_t reservation = 0;
         std::uint64_t epoch = 0;
         std::vector<grant_share> shares;
     };
--- a/libs/limits/include/limits/received_grants.h
+++ b/libs/limits/include/limits/received_grants.h
@@ -44,7 +44,7 @@
     /// Removes the expired grants without running requests and returns their settlements.
     std::vector<grant_settlement> takeSettled(timestamp now);
 
-    /// Returns whether there is no grant.
+    /// Returns whether no grants are held, neither valid nor expired ones.
     bool isEmpty() const { return m_grants.empty(); }
 
     /// Records a request for @p amount tokens.
--- a/libs/limits/include/limits/token_bucket.h
+++ b/libs/limits/include/limits/token_bucket.h
@@ -12,7 +12,7 @@
 /// Configured token limit of a team.
 struct token_limit
 {
-    /// Tokens a second.
+    /// Tokens per second.
     double rate = 0;
     /// Capacity of the bucket: tokens that may be admitted at once after an idle period.
     double burst = 0;
@@ -44,11 +44,11 @@
     /// @name Reservations and grants
     /// @{
 
-    /// Takes @p amount for a request admitted here. Returns its identifier, or nothing when the
-    /// bucket holds less.
+    /// Takes @p amount for a request admitted here. Returns the identifier of the reservation, or
+    /// nothing when the bucket holds less.
     std::optional<std::uint64_t> reserve(timestamp now, double amount);
-    /// Takes @p amount for another instance to spend until @p expiry. Returns its identifier, or
-    /// nothing when the bucket holds less or @p amount exceeds grantableTokens().
+    /// Takes @p amount for another instance to spend until @p expiry. Returns the identifier of the
+    /// grant, or nothing when the bucket holds less or @p amount exceeds grantableTokens().
     std::optional<std::uint64_t> grant(timestamp now, double amount, timestamp expiry);
     /// Returns @p unused tokens of a reservation or grant to the bucket. After this call the grant
     /// must not be spent any more. Unknown identifiers, including those of settled and dropped
@@ -77,7 +77,7 @@
     /// Returns the time until @p amount is available if no tokens are taken in the meantime, or
     /// nothing when it exceeds the burst.
     std::optional<duration> timeUntilAvailable(timestamp now, double amount);
-    /// Returns the limit in force.
+    /// Returns the current limit.
     const token_limit &limit() const { return m_limit; }
 
     /// @}
--- a/libs/limits/src/rate_limiter.cpp
+++ b/libs/limits/src/rate_limiter.cpp
@@ -21,7 +21,8 @@
 /// the difference of the machines' clock rates.
 constexpr duration grantExpiryMargin = std::chrono::milliseconds(100);
 
-/// Time for which a shard is treated as changing its owner after the last sign of a change.
+/// Time for which a shard is treated as changing its owner after an acquisition, a failed call or a
+/// NotOwner answer.
 constexpr duration ownerChangeDuration = std::chrono::seconds(3);
 
 /// Smallest expected demand, in tokens, that is prefetched.
@@ -294,17 +295,17 @@
         return std::nullopt;
     const double headTokens = state.queue.empty() ? 0 : state.queue.front().tokens;
     const double needed = std::max(0.0, headTokens - available);
-    grant_call call {.id = m_nextCall++, .to = record->owner, .ask = {}};
-    call.ask = {.from = m_options.self,
-                .team = team,
-                .needed = needed,
-                .queued = std::max(0.0, waitingTokens - available - needed),
-                .extra = needsTokens ? expected : 0,
-                .settled = std::move(state.settled)};
+    grant_call call {.id = m_nextCall++, .to = record->owner, .request = {}};
+    call.request = {.from = m_options.self,
+                    .team = team,
+                    .needed = needed,
+                    .queued = std::max(0.0, waitingTokens - available - needed),
+                    .extra = needsTokens ? expected : 0,
+                    .settled = std::move(state.settled)};
     state.settled.clear();
     state.pendingCall = call.id;
     state.nextCallAt = now + minCallInterval;
-    m_calls[call.id] = {.team = team, .sentAt = now, .settled = call.ask.settled};
+    m_calls[call.id] = {.team = team, .sentAt = now, .settled = call.request.settled};
     return call;
 }
 
@@ -348,7 +349,7 @@
     answer.kind = grant_answer::outcome::Granted;
     answer.grant = *id;
     answer.amount = amount;
-    answer.life = m_options.grantLifetime;
+    answer.lifetime = m_options.grantLifetime;
     return answer;
 }
 
@@ -372,7 +373,7 @@
     state.pendingCall = 0;
     if (answer.kind == grant_answer::outcome::Granted) {
         state.receivedGrants.add(answer.epoch, answer.grant, answer.amount,
-                                 call->sentAt + answer.life);
+                                 call->sentAt + answer.lifetime);
         serveQueue(now, team->first, state);
         return;
     }
