--- a/examples/embedding/main.cpp
+++ b/examples/embedding/main.cpp
@@ -42,7 +42,8 @@
         self.keeper.setFleet(now, known);
         for (const lease_action &action : self.keeper.tick(now)) {
             if (const confirm_call *call = std::get_if<confirm_call>(&action)) {
-                const confirm_answer answer = fleet.at(call->to).keeper.onRequest(now, call->ask);
+                const confirm_answer answer =
+                    fleet.at(call->to).keeper.onRequest(now, call->request);
                 self.keeper.onAnswer(now, call->id, answer);
             } else if (const record_write *write = std::get_if<record_write>(&action)) {
                 stored_record &item = store[write->key];
--- a/libs/control/src/control_node.cpp
+++ b/libs/control/src/control_node.cpp
@@ -220,7 +220,7 @@
             if (address.empty())
                 m_leases.onFailure(now, call->id, false);
             else
-                sendPeer(address, std::move(call->ask), lease_context {.id = call->id});
+                sendPeer(address, std::move(call->request), lease_context {.id = call->id});
         } else if (record_write *write = std::get_if<record_write>(&action)) {
             callPlatform(platform_put {.name = write->key,
                                        .value = toText(write->record),
--- a/libs/lease/include/lease/lease_manager.h
+++ b/libs/lease/include/lease/lease_manager.h
@@ -28,7 +28,7 @@
     /// Instances that are alive and not leaving, including this one unless it is leaving.
     std::vector<lease_candidate> usable;
     /// Names of the instances that the platform's list or the failure detector still contains.
-    /// Other owners and successors count as lost.
+    /// Owners and successors that are not among them count as lost.
     std::vector<std::string> known;
     /// Whether this instance recently heard from the platform or reaches a majority of the
     /// instances in the last list. Otherwise it neither uses nor confirms a lease.
@@ -63,12 +63,12 @@
     std::vector<item> items;
 };
 
-/// Actions that the caller of lease_manager::tick() carries out. @{
+/// Actions that the embedding program must execute. @{
 struct confirm_call
 {
     std::uint64_t id = 0;
     std::string to;
-    confirm_request ask;
+    confirm_request request;
 };
 struct record_write
 {
@@ -113,7 +113,7 @@
     duration confirmationLifetime = std::chrono::seconds(2);
     /// Time between two confirmation requests to the same successor.
     duration confirmationPeriod = std::chrono::milliseconds(500);
-    /// Upper bound, with reserve, of the relative difference between the clock rates of two
+    /// Upper bound, with a safety margin, of the relative difference between the clock rates of two
     /// machines.
     double clockRateTolerance = 0.02;
     /// Additional wait of each further successor, so that two successors don't race.
@@ -124,8 +124,8 @@
     duration orphanTakeoverDelay = std::chrono::seconds(30);
     /// Number of successors of each lease.
     int successors = 2;
-    /// Wait after the start before records are created, so that instances that start together know
-    /// each other and distribute the leases.
+    /// Wait after the start before records are created, so that instances that start together
+    /// discover each other first and the leases are distributed over all of them.
     duration creationDelay = std::chrono::milliseconds(1500);
     /// See lease_event::previousOwnerStable. Longer than the lifetime of anything that an owner
     /// grants to other instances.
@@ -149,7 +149,7 @@
 ///     lease_manager manager({ .self = "entry-1", .zone = "a", .keys = { "limits/0" } }, now);
 ///     manager.setFleet(now, fleet);
 ///     for (const lease_action &action : manager.tick(now))
-///         carryOut(action);
+///         execute(action);
 ///     if (manager.holds(boot_clock::now(), "limits/0"))
 ///         act();
 ///
@@ -274,7 +274,7 @@
                            std::vector<lease_action> &actions);
     void applyRecord(timestamp now, const std::string &key, lease_state &state,
                      std::uint64_t version, std::optional<lease_record> record);
-    void confirmNewSuccessors(const lease_record &written, lease_state &state) const;
+    void markNewSuccessorsConfirmed(const lease_record &written, lease_state &state) const;
     duration promiseLifetime() const;
 
     lease_options m_options;
@@ -286,8 +286,9 @@
     std::map<std::string, timestamp, std::less<>> m_nextProbeAt;
     std::uint64_t m_nextId = 1;
     bool m_leaving = false;
-    bool m_reviewDue = false;
-    timestamp m_nextReviewAt;
+    /// Whether this tick() checks the successors of the owned leases.
+    bool m_successorCheckDue = false;
+    timestamp m_nextSuccessorCheckAt;
     std::vector<lease_event> m_events;
 };
 
--- a/libs/lease/src/lease_manager.cpp
+++ b/libs/lease/src/lease_manager.cpp
@@ -18,8 +18,8 @@
 /// periods.
 constexpr duration ownerSilenceTimeout = std::chrono::milliseconds(750);
 
-/// Time between two checks whether an owner's successors must be replaced.
-constexpr duration reviewPeriod = std::chrono::milliseconds(100);
+/// Time between two checks whether successors of the owned leases must be replaced.
+constexpr duration successorCheckPeriod = std::chrono::milliseconds(100);
 
 /// Time between two reads of a record whose state is unknown.
 constexpr duration recordReadPeriod = std::chrono::seconds(1);
@@ -87,8 +87,8 @@
 {
     if (!isOwner(state) || m_leaving || !m_fleet.attached)
         return false;
-    // A record with this instance as owner may take effect only after this instance promised the
-    // previous owner not to take over.
+    // The write that makes this instance the owner may take effect after this instance promised the
+    // previous owner not to take over. The lease is valid only after that promise has expired.
     if (now < state.promisedUntil)
         return false;
     const std::vector<std::string> required = requiredSuccessors(state);
@@ -120,11 +120,11 @@
 std::vector<lease_action> lease_manager::tick(timestamp now)
 {
     std::vector<lease_action> actions;
-    // Choosing successors iterates over the whole fleet for each lease, so it is not done every
-    // time.
-    m_reviewDue = now >= m_nextReviewAt;
-    if (m_reviewDue)
-        m_nextReviewAt = now + reviewPeriod;
+    // Choosing successors iterates over the whole fleet for each lease, so it is not done in every
+    // tick.
+    m_successorCheckDue = now >= m_nextSuccessorCheckAt;
+    if (m_successorCheckDue)
+        m_nextSuccessorCheckAt = now + successorCheckPeriod;
     for (auto it = m_leases.begin(); it != m_leases.end(); ++it)
         tickLease(now, it->first, it->second, actions);
     if (!m_leaving) {
@@ -167,7 +167,7 @@
                             .previousOwnerStable = state.previousOwnerStable});
         state.firstAcquisition = false;
     }
-    if (m_reviewDue)
+    if (m_successorCheckDue)
         replaceSuccessors(now, key, state, actions);
 }
 
@@ -363,7 +363,8 @@
         m_calls[id] = std::move(call);
         m_nextRequestAt[it->first] = now + m_options.confirmationPeriod;
         it->second.from = m_options.self;
-        actions.push_back(confirm_call {.id = id, .to = it->first, .ask = std::move(it->second)});
+        actions.push_back(
+            confirm_call {.id = id, .to = it->first, .request = std::move(it->second)});
     }
 }
 
@@ -387,7 +388,7 @@
         const std::uint64_t id = m_nextId++;
         m_calls[id] = {.to = name, .sentAt = now, .keys = {}};
         actions.push_back(
-            confirm_call {.id = id, .to = name, .ask = {.from = m_options.self, .items = {}}});
+            confirm_call {.id = id, .to = name, .request = {.from = m_options.self, .items = {}}});
     }
 }
 
@@ -428,8 +429,8 @@
             reply.epoch = state.record ? state.record->epoch : 0;
             if (isOwner(state) && item.epoch > reply.epoch)
                 state.recordKnown = false; // another instance took over: read the record
-            // Not while an own takeover may have taken effect, and not for an owner with an
-            // outdated record.
+            // Refuses while a takeover by this instance may have taken effect, and refuses an owner
+            // with an outdated record.
             reply.granted = m_fleet.attached && !state.pendingWrite && reply.epoch <= item.epoch
                 && !(isOwner(state) && reply.epoch == item.epoch);
             if (reply.granted) {
@@ -503,8 +504,8 @@
                                 std::uint64_t version, std::optional<lease_record> record)
 {
     const bool changed = version != state.version;
-    const bool stillOwner = record && record->owner == m_options.self;
-    const bool ownWrite = stillOwner && state.pendingWrite && *record == *state.pendingWrite;
+    const bool isOwnerNow = record && record->owner == m_options.self;
+    const bool isOwnWrite = isOwnerNow && state.pendingWrite && *record == *state.pendingWrite;
     state.recordKnown = true;
     state.outcomeUnknown = false;
     state.version = version;
@@ -520,13 +521,13 @@
         state.ownerGone = false;
     }
     // The previous owner no longer uses the lease, so the promise to it is void.
-    if (changed && stillOwner && record->handedOver)
+    if (changed && isOwnerNow && record->handedOver)
         state.promisedUntil = now;
-    if (ownWrite)
-        confirmNewSuccessors(*record, state);
+    if (isOwnWrite)
+        markNewSuccessorsConfirmed(*record, state);
     state.pendingWrite.reset();
     state.record = std::move(record);
-    if (!stillOwner) {
+    if (!isOwnerNow) {
         state.firstAcquisition = false;
         state.confirmedUntil.clear();
         state.unansweredRequests.clear();
@@ -545,7 +546,8 @@
                             .record = *state.record});
 }
 
-void lease_manager::confirmNewSuccessors(const lease_record &written, lease_state &state) const
+void lease_manager::markNewSuccessorsConfirmed(const lease_record &written,
+                                               lease_state &state) const
 {
     // A new successor receives the record after the write was sent and from then on waits for
     // recordPropagationTime, which is longer than a confirmation. Its confirmation is therefore
--- a/libs/lease/tests/lease_manager_test.cpp
+++ b/libs/lease/tests/lease_manager_test.cpp
@@ -55,10 +55,10 @@
     lease_simulation simulation(6, {"k"}, 3);
     simulation.run(seconds(10));
     const std::string oldOwner = onlyHolder(simulation);
-    simulation.instances[oldOwner].frozen = true;
+    simulation.instances[oldOwner].paused = true;
     simulation.run(seconds(10));
     EXPECT_NE(onlyHolder(simulation), oldOwner);
-    simulation.instances[oldOwner].frozen = false;
+    simulation.instances[oldOwner].paused = false;
     EXPECT_FALSE(simulation.instances[oldOwner].manager->holds(simulation.now, "k"));
     simulation.run(seconds(10));
     EXPECT_FALSE(simulation.everHeldByTwo);
@@ -70,7 +70,7 @@
     lease_simulation simulation(6, {"k"}, 4);
     simulation.run(seconds(10));
     const std::string oldOwner = onlyHolder(simulation);
-    simulation.platformOut = true;
+    simulation.isPlatformDown = true;
     for (int i = 0; i < 600; ++i) {
         simulation.run(seconds(1));
         ASSERT_EQ(onlyHolder(simulation), oldOwner) << "after " << i << " s";
@@ -82,7 +82,7 @@
     lease_simulation simulation(6, {"k"}, 5);
     simulation.run(seconds(10));
     const std::string owner = onlyHolder(simulation);
-    simulation.platformOut = true;
+    simulation.isPlatformDown = true;
     simulation.kill(simulation.instances[owner].manager->record("k")->successors.front());
     for (int i = 0; i < 30; ++i) {
         simulation.run(seconds(1));
@@ -95,12 +95,12 @@
     lease_simulation simulation(6, {"k"}, 6);
     simulation.run(seconds(10));
     const std::string owner = onlyHolder(simulation);
-    simulation.platformOut = true;
+    simulation.isPlatformDown = true;
     simulation.instances[simulation.instances[owner].manager->record("k")->successors.front()]
-        .frozen = true;
+        .paused = true;
     simulation.run(seconds(5));
     EXPECT_EQ(onlyHolder(simulation), "");
-    simulation.platformOut = false;
+    simulation.isPlatformDown = false;
     simulation.run(seconds(5));
     EXPECT_NE(onlyHolder(simulation), "");
 }
@@ -111,7 +111,7 @@
     simulation.run(seconds(10));
     const std::string owner = onlyHolder(simulation);
     simulation.instances[simulation.instances[owner].manager->record("k")->successors.front()]
-        .frozen = true;
+        .paused = true;
     for (int i = 0; i < 400; ++i) {
         simulation.run(std::chrono::milliseconds(50));
         ASSERT_EQ(onlyHolder(simulation), owner);
@@ -142,7 +142,7 @@
     simulation.run(seconds(10));
     const std::string owner = onlyHolder(simulation);
     const lease_record record = *simulation.instances[owner].manager->record("k");
-    simulation.platformOut = true;
+    simulation.isPlatformDown = true;
     simulation.kill(owner);
     simulation.run(std::chrono::milliseconds(500));
     simulation.startInstance(owner);
@@ -166,7 +166,7 @@
     EXPECT_NE(onlyHolder(simulation), "");
 }
 
-/// Injects two random faults at a time, with fixed seeds: kills, restarts, freezes, network cuts,
+/// Injects two random faults at a time, with fixed seeds: kills, restarts, pauses, network cuts,
 /// platform outages and lost answers. Two instances must never hold a lease at the same time. After
 /// the faults end, one instance must hold each lease.
 TEST(LeaseManager, NeverHasTwoHoldersUnderRandomPairsOfFaults)
@@ -188,7 +188,7 @@
                     break;
                 case 2:
                     if (simulation.instances.contains(name))
-                        simulation.instances[name].frozen = true;
+                        simulation.instances[name].paused = true;
                     break;
                 case 3:
                     if (simulation.instances.contains(name))
@@ -199,7 +199,7 @@
                         simulation.instances[name].cutFromPlatform = true;
                     break;
                 case 5:
-                    simulation.platformOut = !simulation.platformOut;
+                    simulation.isPlatformDown = !simulation.isPlatformDown;
                     break;
                 case 6:
                     simulation.lostAnswerShare = 0.5;
@@ -209,14 +209,14 @@
             simulation.run(std::chrono::milliseconds(300 + random() % 4000));
             for (auto it = simulation.instances.begin(); it != simulation.instances.end(); ++it) {
                 if (random() % 2 == 0)
-                    it->second.frozen = false;
+                    it->second.paused = false;
             }
             ASSERT_FALSE(simulation.everHeldByTwo) << "seed " << seed << " round " << round;
         }
-        simulation.platformOut = false;
+        simulation.isPlatformDown = false;
         simulation.lostAnswerShare = 0;
         for (auto it = simulation.instances.begin(); it != simulation.instances.end(); ++it) {
-            it->second.frozen = false;
+            it->second.paused = false;
             it->second.cutFromPlatform = false;
             it->second.cutFromPeers.clear();
         }
--- a/libs/lease/tests/lease_simulation.h
+++ b/libs/lease/tests/lease_simulation.h
@@ -20,7 +20,7 @@
     struct simulated_instance
     {
         std::unique_ptr<lease_manager> manager;
-        bool frozen = false;
+        bool paused = false;
         bool cutFromPlatform = false;
         bool leaving = false;
         std::set<std::string> cutFromPeers;
@@ -41,12 +41,12 @@
             lease_options {.self = name, .zone = zoneOf(name), .keys = m_keys}, now);
     }
 
-    /// Lets the instance leave. The other instances learn of it in the next step.
+    /// Makes the instance leave. The other instances learn of it in the next step.
     void leave(const std::string &name)
     {
         instances[name].manager->leave(now);
         for (const lease_action &action : instances[name].manager->tick(now))
-            carryOut(name, action);
+            executeAction(name, action);
         instances[name].leaving = true;
     }
 
@@ -59,7 +59,7 @@
             now += std::chrono::milliseconds(20);
             runDueEvents();
             for (auto it = instances.begin(); it != instances.end(); ++it) {
-                if (!it->second.frozen)
+                if (!it->second.paused)
                     step(it->first, it->second);
             }
             checkExclusive();
@@ -78,7 +78,7 @@
     }
 
     bool everHeldByTwo = false;
-    bool platformOut = false;
+    bool isPlatformDown = false;
     /// Share of the platform's answers that are lost after the write took effect.
     double lostAnswerShare = 0;
     timestamp now {std::chrono::seconds(1000)};
@@ -126,11 +126,11 @@
         }
         item.manager->setFleet(now, std::move(fleet));
         for (const lease_action &action : item.manager->tick(now))
-            carryOut(name, action);
+            executeAction(name, action);
         item.manager->takeEvents();
     }
 
-    void carryOut(const std::string &name, const lease_action &action)
+    void executeAction(const std::string &name, const lease_action &action)
     {
         const duration networkDelay = std::chrono::milliseconds(1 + m_random() % 30);
         if (const confirm_call *call = std::get_if<confirm_call>(&action))
@@ -143,13 +143,13 @@
             });
     }
 
-    /// Runs @p action on @p name if it is alive; if it is frozen, as soon as it resumes.
+    /// Runs @p action on @p name if it is alive; if it is paused, as soon as it resumes.
     void runOn(const std::string &name, std::function<void(lease_manager &)> action)
     {
         const auto found = instances.find(name);
         if (found == instances.end())
             return;
-        if (found->second.frozen)
+        if (found->second.paused)
             schedule(std::chrono::milliseconds(100),
                      [this, name, action = std::move(action)] { runOn(name, action); });
         else
@@ -169,7 +169,7 @@
         if (cut || target->second.cutFromPeers.contains(from))
             return;
         runOn(call.to, [this, from, call](lease_manager &manager) {
-            const confirm_answer answer = manager.onRequest(now, call.ask);
+            const confirm_answer answer = manager.onRequest(now, call.request);
             schedule(std::chrono::milliseconds(1 + m_random() % 30), [this, from, call, answer] {
                 runOn(from, [this, call, answer](lease_manager &sender) {
                     sender.onAnswer(now, call.id, answer);
@@ -182,7 +182,7 @@
     {
         ++platformCalls;
         const bool cut =
-            !instances.contains(name) || instances[name].cutFromPlatform || platformOut;
+            !instances.contains(name) || instances[name].cutFromPlatform || isPlatformDown;
         if (cut) {
             reportWrite(name, write.key, write_outcome::Refused, 0);
             return;
@@ -221,7 +221,7 @@
     void readRecord(const std::string &name, const std::string &key)
     {
         ++platformCalls;
-        if (!instances.contains(name) || instances[name].cutFromPlatform || platformOut)
+        if (!instances.contains(name) || instances[name].cutFromPlatform || isPlatformDown)
             return;
         const object_state current = m_objects[key];
         schedule(std::chrono::milliseconds(5), [this, name, key, current] {
--- a/libs/limits/benchmarks/limiter_simulation.cpp
+++ b/libs/limits/benchmarks/limiter_simulation.cpp
@@ -179,7 +179,7 @@
     callPeer(
         from, call.to,
         [this, from, call](simulated_instance &target) {
-            const confirm_answer answer = target.manager->onRequest(m_now, call.ask);
+            const confirm_answer answer = target.manager->onRequest(m_now, call.request);
             ++m_messages;
             schedule(networkDelay(), [this, from, call, answer] {
                 runOn(from, [this, call, answer](simulated_instance &self) {
