--- a/libs/control/include/control/rollout_coordinator.h
+++ b/libs/control/include/control/rollout_coordinator.h
@@ -90,14 +90,14 @@
 
     void stepController(timestamp now, std::int64_t wallSeconds, const pool &poolConfig,
                         request_coordinator &requests);
-    std::vector<rollout_worker> workersFor(const pool &poolConfig) const;
+    std::vector<rollout_server> serversFor(const pool &poolConfig) const;
 
     const lease_view &m_leases;
     std::shared_ptr<const configuration_snapshot> m_configuration;
     bool m_loaded = false;
     std::map<std::string, std::pair<std::uint64_t, rollout_record>> m_records;
     std::map<std::string, controller_state> m_controllers;
-    std::map<std::string, rollout_worker, std::less<>> m_servers;
+    std::map<std::string, rollout_server, std::less<>> m_servers;
     std::vector<rollout_write> m_writes;
     std::vector<server_order> m_orders;
 };
--- a/libs/control/src/control_node.cpp
+++ b/libs/control/src/control_node.cpp
@@ -736,7 +736,7 @@
     if (found == m_pendingOrders.end())
         return;
     if (!accepted)
-        m_rolloutCoordinator.onOrderFailed(found->second.pool, found->second.order.worker);
+        m_rolloutCoordinator.onOrderFailed(found->second.pool, found->second.order.server);
     m_pendingOrders.erase(found);
 }
 
--- a/libs/control/src/rollout_coordinator.cpp
+++ b/libs/control/src/rollout_coordinator.cpp
@@ -78,20 +78,20 @@
         found->second.controller.onOrderFailed(server);
 }
 
-std::vector<rollout_worker> rollout_coordinator::workersFor(const pool &poolConfig) const
+std::vector<rollout_server> rollout_coordinator::serversFor(const pool &poolConfig) const
 {
-    std::vector<rollout_worker> workers;
+    std::vector<rollout_server> servers;
     for (const backend_server &each : poolConfig.servers) {
         if (each.leaving)
             continue;
         const auto reported = m_servers.find(each.name);
         // A server counts as unreachable until its first report.
         if (reported != m_servers.end())
-            workers.push_back(reported->second);
+            servers.push_back(reported->second);
         else
-            workers.push_back({.name = each.name, .version = each.version, .reachable = false});
+            servers.push_back({.name = each.name, .version = each.version, .reachable = false});
     }
-    return workers;
+    return servers;
 }
 
 void rollout_coordinator::tick(timestamp now, std::int64_t wallSeconds,
@@ -134,13 +134,13 @@
                 .first;
     }
     controller_state &state = found->second;
-    state.controller.setWorkers(workersFor(poolConfig));
+    state.controller.setServers(serversFor(poolConfig));
     const std::vector<load_order> orders =
         state.controller.tick(now, epoch, requests.evidenceFor(poolConfig.name));
     for (const load_order &order : orders) {
         const auto server =
             std::find_if(poolConfig.servers.begin(), poolConfig.servers.end(),
-                         [&](const backend_server &s) { return s.name == order.worker; });
+                         [&](const backend_server &s) { return s.name == order.server; });
         m_orders.push_back({.pool = poolConfig.name,
                             .order = order,
                             .address = server->address,
--- a/libs/rollout/benchmarks/bench_rollout.cpp
+++ b/libs/rollout/benchmarks/bench_rollout.cpp
@@ -17,7 +17,7 @@
 {
     std::vector<benchmark_version> versions(7);
     versions[0].name = "good";
-    versions[1].name = "good but unlucky";
+    versions[1].name = "good, at the tolerable shares";
     versions[1].behaviour.failureProbability = [](double, int, double) { return 0.005; };
     versions[1].behaviour.slowProbability = [](double, int, double) { return 0.05; };
     versions[2].name = "bad from the start";
@@ -46,7 +46,7 @@
 int main(int argc, char **argv)
 {
     constexpr int runs = 100;
-    report_table table("rollouts of 60 s, 18 workers, 100 requests/s, 100 seeds",
+    report_table table("rollouts of 60 s, 18 backend servers, 100 requests/s, 100 seeds",
                        {"version", "done in time", "rolled back", "max share before rollback %",
                         "requests after rollback", "max parallel loads", "baseline: done in time",
                         "baseline: traffic to the version %"});
--- a/libs/rollout/benchmarks/rollout_simulation.h
+++ b/libs/rollout/benchmarks/rollout_simulation.h
@@ -12,8 +12,8 @@
 
 namespace trefoil {
 
-/// Simulated version: the probabilities that a request fails or is slow, depending on the version's
-/// share of the traffic, the route and the seconds since the start.
+/// Behaviour of a simulated version: the probabilities that a request fails or is slow, depending
+/// on the version's share of the traffic, the route and the seconds since the start.
 struct version_behaviour
 {
     std::function<double(double share, int route, double seconds)> failureProbability =
@@ -31,12 +31,13 @@
     double newVersionRequestsAfterRollback = 0;
     double newShareOfTraffic = 0; // until the rollback
     int maxParallelLoads = 0;
-    std::size_t workersOnNew = 0;
+    std::size_t serversOnNewVersion = 0;
 };
 
-/// Simulates a rollout of 60 s in virtual time: 18 workers, 100 requests per second on three
-/// routes, 1.5 s to load a version, and outcomes that reach the controller half a second late. The
-/// controller is replaced @p restartControllerAt seconds after the start, if that is not negative.
+/// Simulates a rollout of 60 s in virtual time: 18 backend servers, 100 requests per second on
+/// three routes, 1.5 s to load a version, and outcomes that reach the controller half a second
+/// late. The controller is replaced @p restartControllerAt seconds after the start, if that is not
+/// negative.
 inline rollout_result simulateRollout(const version_behaviour &next, std::uint64_t seed,
                                       double restartControllerAt = -1, bool useEvidence = true)
 {
@@ -49,15 +50,15 @@
     };
     std::optional<rollout_controller> controller;
     controller.emplace(options, std::nullopt);
-    std::vector<rollout_worker> workers;
+    std::vector<rollout_server> servers;
     for (int i = 0; i < 18; ++i)
-        workers.push_back({.name = "w" + std::to_string(i), .version = "v1"});
+        servers.push_back({.name = "w" + std::to_string(i), .version = "v1"});
     std::map<std::string, std::pair<double, std::string>> loading;
     evidence outcomes;
     std::vector<std::function<void()>> pendingReports;
     rollout_result rollout;
     double requests = 0;
-    double onNew = 0;
+    double newVersionRequests = 0;
     bool restarted = false;
     for (int tick = 0; tick < 1000; ++tick) {
         const double seconds = tick * 0.1;
@@ -72,7 +73,7 @@
                 ++it;
                 continue;
             }
-            for (rollout_worker &each : workers) {
+            for (rollout_server &each : servers) {
                 if (each.name == it->first)
                     each.version = it->second.second;
             }
@@ -83,11 +84,11 @@
             const rollout_record storedRecord = controller->record();
             controller.emplace(options, storedRecord);
         }
-        controller->setWorkers(workers);
+        controller->setServers(servers);
         for (const load_order &order : controller->tick(now, 1, outcomes)) {
-            loading[order.worker] = {seconds + 1.5, order.version};
-            for (rollout_worker &each : workers) {
-                if (each.name == order.worker)
+            loading[order.server] = {seconds + 1.5, order.version};
+            for (rollout_server &each : servers) {
+                if (each.name == order.server)
                     each.version.clear();
             }
         }
@@ -112,16 +113,16 @@
             });
             if (rollout.rolledBackAt < 0) {
                 requests += 1;
-                onNew += takesNew ? 1 : 0;
+                newVersionRequests += takesNew ? 1 : 0;
             } else if (takesNew) {
                 rollout.newVersionRequestsAfterRollback += 1;
             }
         }
     }
     rollout.record = controller->record();
-    rollout.newShareOfTraffic = onNew / std::max(1.0, requests);
-    for (const rollout_worker &each : workers)
-        rollout.workersOnNew += each.version == "v2" ? 1 : 0;
+    rollout.newShareOfTraffic = newVersionRequests / std::max(1.0, requests);
+    for (const rollout_server &each : servers)
+        rollout.serversOnNewVersion += each.version == "v2" ? 1 : 0;
     return rollout;
 }
 
--- a/libs/rollout/include/rollout/evidence.h
+++ b/libs/rollout/include/rollout/evidence.h
@@ -19,7 +19,7 @@
     bool operator==(const outcome_counts &) const = default;
 };
 
-/// Version that was found to be bad, and the route on which it is.
+/// Version that was found to be bad, and the route on which it failed or was slow.
 struct evidence_verdict
 {
     std::string version;
--- a/libs/rollout/include/rollout/rollout_controller.h
+++ b/libs/rollout/include/rollout/rollout_controller.h
@@ -39,20 +39,21 @@
 /// Returns the name of a stage as printed by the status command. Thread-safe.
 std::string_view toString(rollout_stage stage);
 
-/// Worker of the pool.
-struct rollout_worker
+/// Backend server of the pool, as last reported.
+struct rollout_server
 {
     std::string name;
-    /// Version that the worker reports; empty while it loads one.
+    /// Version that the server runs; empty while it loads one.
     std::string version;
+    /// Whether its last poll was answered.
     bool reachable = true;
 };
 
-/// Order to a worker to load a version. Workers that check the epoch refuse orders with an older
-/// one.
+/// Order to a backend server to load a version. A server that checks the epoch refuses orders with
+/// a lower one than it has seen.
 struct load_order
 {
-    std::string worker;
+    std::string server;
     std::string version;
     std::uint64_t epoch = 0;
 };
@@ -69,7 +70,8 @@
     double initialShare = 0.01;
     /// Requests to the new version that are required before the next step.
     std::uint64_t requestsPerStep = 60;
-    /// Maximum number of workers that load weights at a time. More than three slow each other down.
+    /// Maximum number of backend servers that load weights at a time. More than three slow each
+    /// other down.
     int maxConcurrentLoads = 3;
     /// Time after which an unconfirmed load may be ordered again.
     duration loadTimeout = std::chrono::seconds(15);
@@ -79,23 +81,24 @@
 /// holds the lease of the pool. Not thread-safe.
 ///
 ///     rollout_controller controller(options, record);
-///     controller.setWorkers(workers);
+///     controller.setServers(servers);
 ///     for (const load_order &order : controller.tick(now, epoch, evidence))
 ///         send(order);
 ///     if (controller.record() != written) write(controller.record());
 class rollout_controller
 {
 public:
-    /// Continues from @p record, which a previous controller wrote, if it is of the same versions.
+    /// Continues from @p record, which a previous controller wrote, if it names the same versions.
+    /// Precondition: options.from and options.to differ.
     rollout_controller(rollout_options options, std::optional<rollout_record> record);
 
-    /// Sets the version that each worker runs.
-    void setWorkers(std::vector<rollout_worker> workers);
+    /// Sets the backend servers of the pool and the version that each of them runs.
+    void setServers(std::vector<rollout_server> servers);
     /// Rolls back a bad version, else updates the traffic share, and returns the orders that are
-    /// due.
+    /// due. @p epoch is the epoch of the rollout lease; the orders carry it.
     std::vector<load_order> tick(timestamp now, std::uint64_t epoch, const evidence &outcomes);
     /// Handles an order that was refused or got no answer.
-    void onOrderFailed(std::string_view worker);
+    void onOrderFailed(std::string_view server);
     /// Returns the state to be stored in the platform.
     const rollout_record &record() const { return m_record; }
 
@@ -103,18 +106,21 @@
     double scheduledShare(timestamp now) const;
     void updateShare(timestamp now, const evidence &outcomes);
     std::vector<load_order> dueOrders(timestamp now, std::uint64_t epoch);
-    std::size_t targetWorkersOnNew() const;
+    std::size_t targetServersOnNewVersion() const;
 
     rollout_options m_options;
     rollout_record m_record;
-    std::vector<rollout_worker> m_workers;
+    std::vector<rollout_server> m_servers;
+    /// Time of the last load order to each server that has not finished loading.
     std::map<std::string, timestamp, std::less<>> m_loading;
+    /// Requests to the new version up to the last change of the traffic share.
     std::uint64_t m_requestsAtStep = 0;
-    std::optional<timestamp> m_fullSince;
+    std::optional<timestamp> m_fullShareSince;
 };
 
-/// Returns whether the request with digest @p bits goes to the new version at @p share. The result
-/// is the same on every instance, so that repeated prompts stay on one version. Thread-safe.
-bool takesNewVersion(std::uint64_t bits, double share);
+/// Returns whether a request goes to the new version at traffic share @p share. @p digest holds 64
+/// bits of the digest of its body. The result is the same on every instance, so that repeated
+/// prompts stay on one version. Thread-safe.
+bool takesNewVersion(std::uint64_t digest, double share);
 
 } // namespace trefoil
--- a/libs/rollout/src/rollout_controller.cpp
+++ b/libs/rollout/src/rollout_controller.cpp
@@ -69,10 +69,10 @@
         m_record = std::move(*record);
 }
 
-void rollout_controller::setWorkers(std::vector<rollout_worker> workers)
+void rollout_controller::setServers(std::vector<rollout_server> servers)
 {
-    m_workers = std::move(workers);
-    for (const rollout_worker &each : m_workers) {
+    m_servers = std::move(servers);
+    for (const rollout_server &each : m_servers) {
         const auto loading = m_loading.find(each.name);
         const bool isLoaded = !each.version.empty()
             && (each.version == m_options.to) == (m_record.stage != rollout_stage::RolledBack);
@@ -112,8 +112,8 @@
 void rollout_controller::updateShare(timestamp now, const evidence &outcomes)
 {
     const bool isNewVersionRunning =
-        std::any_of(m_workers.begin(), m_workers.end(),
-                    [this](const rollout_worker &each) { return each.version == m_options.to; });
+        std::any_of(m_servers.begin(), m_servers.end(),
+                    [this](const rollout_server &each) { return each.version == m_options.to; });
     if (!isNewVersionRunning)
         return;
     const std::uint64_t requests = outcomes.total(m_options.to).requests;
@@ -137,23 +137,23 @@
         m_requestsAtStep = requests;
     }
     if (m_record.share < 1) {
-        m_fullSince.reset();
+        m_fullShareSince.reset();
         return;
     }
-    if (!m_fullSince)
-        m_fullSince = now;
-    if (now - *m_fullSince >= fullShareDuration)
+    if (!m_fullShareSince)
+        m_fullShareSince = now;
+    if (now - *m_fullShareSince >= fullShareDuration)
         m_record.stage = rollout_stage::Done;
 }
 
-std::size_t rollout_controller::targetWorkersOnNew() const
+std::size_t rollout_controller::targetServersOnNewVersion() const
 {
-    const double size = static_cast<double>(m_workers.size());
+    const double size = static_cast<double>(m_servers.size());
     if (m_record.stage == rollout_stage::RolledBack)
         return 0;
     if (m_record.stage == rollout_stage::Done)
-        return m_workers.size();
-    // Prepares the workers for the next step in advance. One worker keeps the old version until the
+        return m_servers.size();
+    // Prepares the servers for the next step in advance. One server keeps the old version until the
     // rollout is complete, for a rollback.
     double nextShare = 1.0;
     for (const double share : shareSteps) {
@@ -164,26 +164,27 @@
     }
     const double targetShare = m_record.share == 0 ? m_options.initialShare : nextShare;
     const std::size_t wanted = static_cast<std::size_t>(std::ceil(targetShare * size));
-    const std::size_t maxOnNew = m_workers.size() > 1 ? m_workers.size() - 1 : m_workers.size();
-    return std::clamp<std::size_t>(wanted, 1, maxOnNew);
+    const std::size_t maxOnNewVersion =
+        m_servers.size() > 1 ? m_servers.size() - 1 : m_servers.size();
+    return std::clamp<std::size_t>(wanted, 1, maxOnNewVersion);
 }
 
 std::vector<load_order> rollout_controller::dueOrders(timestamp now, std::uint64_t epoch)
 {
     std::erase_if(m_loading,
                   [&](const auto &each) { return now - each.second >= m_options.loadTimeout; });
-    std::size_t onNew = 0;
-    for (const rollout_worker &each : m_workers) {
+    std::size_t onNewVersion = 0;
+    for (const rollout_server &each : m_servers) {
         const bool loadingNew =
             m_loading.contains(each.name) && m_record.stage != rollout_stage::RolledBack;
-        onNew += each.version == m_options.to || loadingNew ? 1 : 0;
+        onNewVersion += each.version == m_options.to || loadingNew ? 1 : 0;
     }
     std::vector<load_order> due;
-    const std::size_t wanted = targetWorkersOnNew();
-    const bool movesBack = onNew > wanted;
-    const std::string &target = movesBack ? m_options.from : m_options.to;
-    std::size_t missing = movesBack ? onNew - wanted : wanted - onNew;
-    for (const rollout_worker &each : m_workers) {
+    const std::size_t wanted = targetServersOnNewVersion();
+    const bool loadsOldVersion = onNewVersion > wanted;
+    const std::string &target = loadsOldVersion ? m_options.from : m_options.to;
+    std::size_t missing = loadsOldVersion ? onNewVersion - wanted : wanted - onNewVersion;
+    for (const rollout_server &each : m_servers) {
         if (missing == 0
             || m_loading.size() >= static_cast<std::size_t>(m_options.maxConcurrentLoads))
             break;
@@ -192,23 +193,23 @@
         if (!canLoad)
             continue;
         m_loading[each.name] = now;
-        due.push_back({.worker = each.name, .version = target, .epoch = epoch});
+        due.push_back({.server = each.name, .version = target, .epoch = epoch});
         --missing;
     }
     return due;
 }
 
-void rollout_controller::onOrderFailed(std::string_view worker)
+void rollout_controller::onOrderFailed(std::string_view server)
 {
-    const auto found = m_loading.find(worker);
+    const auto found = m_loading.find(server);
     if (found != m_loading.end())
         m_loading.erase(found);
 }
 
-bool takesNewVersion(std::uint64_t bits, double share)
+bool takesNewVersion(std::uint64_t digest, double share)
 {
     constexpr double digestRange = 18446744073709551616.0; // 2^64
-    return static_cast<double>(bits) < share * digestRange;
+    return static_cast<double>(digest) < share * digestRange;
 }
 
 } // namespace trefoil
--- a/libs/rollout/tests/rollout_controller_test.cpp
+++ b/libs/rollout/tests/rollout_controller_test.cpp
@@ -10,7 +10,7 @@
         const rollout_result run = simulateRollout({}, seed);
         EXPECT_EQ(run.record.stage, rollout_stage::Done) << "seed " << seed;
         EXPECT_LE(run.doneAt, 60) << "seed " << seed;
-        EXPECT_EQ(run.workersOnNew, 18u) << "seed " << seed;
+        EXPECT_EQ(run.serversOnNewVersion, 18u) << "seed " << seed;
         EXPECT_LE(run.maxParallelLoads, 3) << "seed " << seed;
     }
 }
@@ -24,7 +24,7 @@
         EXPECT_EQ(run.record.stage, rollout_stage::RolledBack) << "seed " << seed;
         EXPECT_LE(run.newShareOfTraffic, 0.02) << "seed " << seed;
         EXPECT_EQ(run.newVersionRequestsAfterRollback, 0) << "seed " << seed;
-        EXPECT_EQ(run.workersOnNew, 0u) << "seed " << seed;
+        EXPECT_EQ(run.serversOnNewVersion, 0u) << "seed " << seed;
         EXPECT_LE(run.maxParallelLoads, 3) << "seed " << seed;
     }
 }
@@ -53,11 +53,11 @@
 
 TEST(RolloutController, DoesNotRollBackAGoodVersionWithFailuresAndSlowRequestsAtTheTolerableShares)
 {
-    version_behaviour unlucky;
-    unlucky.failureProbability = [](double, int, double) { return 0.005; };
-    unlucky.slowProbability = [](double, int, double) { return 0.05; };
+    version_behaviour tolerable;
+    tolerable.failureProbability = [](double, int, double) { return 0.005; };
+    tolerable.slowProbability = [](double, int, double) { return 0.05; };
     for (std::uint64_t seed = 1; seed <= 100; ++seed)
-        EXPECT_EQ(simulateRollout(unlucky, seed).record.stage, rollout_stage::Done)
+        EXPECT_EQ(simulateRollout(tolerable, seed).record.stage, rollout_stage::Done)
             << "seed " << seed;
 }
 
--- a/trefoilrouter/src/backend_client.cpp
+++ b/trefoilrouter/src/backend_client.cpp
@@ -233,11 +233,11 @@
         return tl::unexpected(answer.error());
     if (answer->status == HTTPResponse::HTTP_CONFLICT)
         return failure("stale-epoch",
-                       "backend server \"" + order.order.worker
+                       "backend server \"" + order.order.server
                            + "\" refused an old fencing number");
     if (answer->status >= 300)
         return failure("refused",
-                       "backend server \"" + order.order.worker + "\" refused an order with status "
+                       "backend server \"" + order.order.server + "\" refused an order with status "
                            + std::to_string(answer->status));
     return {};
 }
