--- a/examples/embedding/main.cpp
+++ b/examples/embedding/main.cpp
@@ -43,7 +43,8 @@
         self.keeper.setFleet(now, fleetView);
         for (const lease_action &action : self.keeper.tick(now)) {
             if (const confirm_call *call = std::get_if<confirm_call>(&action)) {
-                const confirm_answer answer = fleet.at(call->to).keeper.onRequest(now, call->ask);
+                const confirm_answer answer =
+                    fleet.at(call->to).keeper.onRequest(now, call->request);
                 self.keeper.onAnswer(now, call->id, answer);
             } else if (const record_write *write = std::get_if<record_write>(&action)) {
                 versioned_record &item = store[write->key];
@@ -64,7 +65,7 @@
         for (const lease_event &event : self.keeper.takeEvents())
             self.limits.onLease(now, event);
         for (const grant_call &call : self.limits.tick(now)) {
-            const grant_answer answer = fleet.at(call.to).limits.onRequest(now, call.ask);
+            const grant_answer answer = fleet.at(call.to).limits.onRequest(now, call.request);
             self.limits.onAnswer(now, call.id, answer);
         }
     }
--- a/trefoilrouter/src/backend_client.cpp
+++ b/trefoilrouter/src/backend_client.cpp
@@ -237,11 +237,11 @@
         return tl::unexpected(response.error());
     if (response->status == HTTPResponse::HTTP_CONFLICT)
         return failure("stale-epoch",
-                       "backend server \"" + order.order.worker
+                       "backend server \"" + order.order.server
                            + "\" rejected an outdated fencing token");
     if (response->status >= 300)
         return failure("refused",
-                       "backend server \"" + order.order.worker
+                       "backend server \"" + order.order.server
                            + "\" rejected a load order with status "
                            + std::to_string(response->status));
     return {};
--- a/trefoilrouter/src/callers_handler.cpp
+++ b/trefoilrouter/src/callers_handler.cpp
@@ -12,7 +12,7 @@
 #include <Poco/Net/HTTPServerRequestImpl.h>
 #include <Poco/Net/HTTPServerResponse.h>
 #include <Poco/URI.h>
-#include <control/entry_selection.h>
+#include <control/discovery.h>
 #include <core/json.h>
 #include <telemetry/log.h>
 
@@ -280,13 +280,13 @@
         const team *ownTeam = routes.findTeam(m_team);
         const double rate = ownTeam ? static_cast<double>(ownTeam->rate) : 0;
         const auto owner = m_snapshot->shardOwners.find(shardKey(m_team, m_snapshot->limitShards));
-        const std::vector<member> order = rankEntryInstances(
+        const std::vector<member> order = rankInstancesForCaller(
             m_snapshot->members,
             {.team = m_team.empty() && target ? std::string_view(target->name) : m_team,
              .caller = m_keyDigest,
              .owner = owner == m_snapshot->shardOwners.end() ? std::string_view() : owner->second,
              .zone = m_settings.zone,
-             .subsetSize = entrySubsetSize(rate, totalRate, m_snapshot->members.size())});
+             .subsetSize = discoverySubsetSize(rate, totalRate, m_snapshot->members.size())});
         Json::Value response(Json::objectValue);
         response["validity_seconds"] = Json::Int64(toMilliseconds(entryValidity) / 1000);
         response["entries"] = Json::Value(Json::arrayValue);
