--- a/libs/control/benchmarks/bench_capacity.cpp
+++ b/libs/control/benchmarks/bench_capacity.cpp
@@ -239,7 +239,7 @@
             for (const prefix_chain &chain : chains) {
                 const std::optional<placement_choice> choice =
                     pool.choose(now, {.chain = &chain, .zone = "a"});
-                pool.noteSent(now, choice->server, chain, choice->estimatedCachedBlocks);
+                pool.recordSent(now, choice->server, chain, choice->estimatedCachedBlocks);
             }
         });
         const double allocations =
@@ -267,8 +267,9 @@
         const timestamp now {std::chrono::seconds(100)};
         const double seconds = measureSeconds([&] {
             for (int i = 0; i < blocks; ++i)
-                belief.noteEvents(now, static_cast<std::uint64_t>(i) + 1,
-                                  std::span(digests).subspan(static_cast<std::size_t>(i), 1), {});
+                belief.applyCacheEvents(now, static_cast<std::uint64_t>(i) + 1,
+                                        std::span(digests).subspan(static_cast<std::size_t>(i), 1),
+                                        {});
         });
         const double heap = heapBytes() - before;
         beliefCurve.add(blocks, heap / 1000);
--- a/libs/control/src/request_coordinator.cpp
+++ b/libs/control/src/request_coordinator.cpp
@@ -116,7 +116,7 @@
                                         const load_report &report)
 {
     for (auto it = m_pools.begin(); it != m_pools.end(); ++it)
-        it->second.noteLoad(now, server, report);
+        it->second.applyLoadReport(now, server, report);
 }
 
 void request_coordinator::onCacheEvents(timestamp now, const std::string &server,
@@ -125,12 +125,12 @@
                                         std::span<const digest128> evicted)
 {
     for (auto it = m_pools.begin(); it != m_pools.end(); ++it)
-        it->second.noteEvents(now, server, incarnation, sequence, stored, evicted);
+        it->second.applyCacheEvents(now, server, incarnation, sequence, stored, evicted);
 }
 
 void request_coordinator::onRemoteCrash(timestamp now, const crash_notice &notice)
 {
-    m_crashes.note(now, notice.body, notice.event);
+    m_crashes.recordCrash(now, notice.body, notice.event);
 }
 
 void request_coordinator::addRemoteOutcomes(const std::string &pool, const std::string &version,
@@ -387,7 +387,8 @@
     const auto server =
         std::find_if(table->servers.begin(), table->servers.end(),
                      [&](const backend_server &s) { return s.name == choice->server; });
-    pool->second.noteSent(now, choice->server, state.request.chain, choice->estimatedCachedBlocks);
+    pool->second.recordSent(now, choice->server, state.request.chain,
+                            choice->estimatedCachedBlocks);
     state.stage = request_stage::Sent;
     state.choice = choice;
     state.sentAt = now;
@@ -431,8 +432,8 @@
     state->hasFirstToken = true;
     const auto pool = m_pools.find(state->request.pool);
     if (pool != m_pools.end())
-        pool->second.noteFirstToken(now, state->choice->server, state->request.chain,
-                                    state->choice->estimatedCachedBlocks, report.cachedTokens);
+        pool->second.recordFirstToken(now, state->choice->server, state->request.chain,
+                                      state->choice->estimatedCachedBlocks, report.cachedTokens);
     const double seconds = toSeconds(now - state->sentAt);
     const double expected = std::max(0.0, state->choice->expectedSeconds);
     const bool slow = seconds > slowFactor * expected + slowMarginSeconds;
@@ -458,8 +459,8 @@
     const auto pool = m_pools.find(state->request.pool);
     if (pool != m_pools.end()) {
         if (!state->hasFirstToken)
-            pool->second.noteAborted(server, state->request.chain,
-                                     state->choice->estimatedCachedBlocks);
+            pool->second.recordAborted(server, state->request.chain,
+                                       state->choice->estimatedCachedBlocks);
         if (indicatesServerDown(report.kind))
             pool->second.setDown(server, now + serverDownPeriod);
     }
@@ -469,7 +470,7 @@
         const crash_notice notice {.body = state->request.body,
                                    .event = m_instance + "/" + std::to_string(m_incarnation) + "/"
                                        + std::to_string(m_nextAttempt) + "/" + server};
-        m_crashes.note(now, notice.body, notice.event);
+        m_crashes.recordCrash(now, notice.body, notice.event);
         m_crashNotices.push_back(notice);
     }
     state->mayHaveRun = state->mayHaveRun || !indicatesNotRun(report.kind);
@@ -514,8 +515,8 @@
     m_limits.finish(now, report.id, report.usedTokens);
     const auto pool = m_pools.find(state->request.pool);
     if (state->choice && !state->hasFirstToken && pool != m_pools.end()) {
-        pool->second.noteAborted(state->choice->server, state->request.chain,
-                                 state->choice->estimatedCachedBlocks);
+        pool->second.recordAborted(state->choice->server, state->request.chain,
+                                   state->choice->estimatedCachedBlocks);
         if (report.answered)
             recordOutcome(*state, false, false);
     }
--- a/libs/routing/benchmarks/routing_simulation.cpp
+++ b/libs/routing/benchmarks/routing_simulation.cpp
@@ -21,7 +21,7 @@
 /// The prefix of rank r is requested in proportion to r^-exponent (Zipf distribution).
 constexpr double popularityExponent = 1.1;
 
-std::string nameOf(int index) { return "w" + std::to_string(10 + index); }
+std::string serverName(int index) { return "w" + std::to_string(10 + index); }
 
 } // namespace
 
@@ -31,10 +31,10 @@
 {
     std::vector<placement_server> servers;
     for (int i = 0; i < scenario.servers; ++i) {
-        m_servers.push_back({.name = nameOf(i)});
-        servers.push_back({.name = nameOf(i), .zone = "a", .version = "v1"});
+        m_servers.push_back({.name = serverName(i)});
+        servers.push_back({.name = serverName(i), .zone = "a", .version = "v1"});
     }
-    m_reportedQueue.resize(m_servers.size());
+    m_reportedQueueSeconds.resize(m_servers.size());
     for (int i = 0; i < scenario.routers; ++i) {
         router item {
             .pool = std::make_unique<placement>(placement_options {
@@ -139,7 +139,7 @@
         // Compares the delayed load reports. Starting at a random server spreads some of the ties.
         std::size_t best = m_random() % count;
         for (std::size_t i = 0; i < count; ++i) {
-            if (m_reportedQueue[i] < m_reportedQueue[best])
+            if (m_reportedQueueSeconds[i] < m_reportedQueueSeconds[best])
                 best = i;
         }
         return best;
@@ -180,7 +180,7 @@
     const std::size_t index = chooseServer(m_strategy, chain, routerIndex, estimatedBlocks);
     simulated_server &target = m_servers[index];
     placement *pool = m_routers[routerIndex].pool.get();
-    pool->noteSent(now(), target.name, chain, estimatedBlocks);
+    pool->recordSent(now(), target.name, chain, estimatedBlocks);
     const std::size_t cachedBlocks = cachedPrefixBlocks(target, chain);
     const double uncachedTokens = chain.tokens - static_cast<double>(cachedBlocks) * blockTokens;
     std::size_t bestCachedBlocks = cachedBlocks;
@@ -197,8 +197,8 @@
         m_avoidableTokens += static_cast<double>(bestCachedBlocks - cachedBlocks) * blockTokens;
     }
     schedule(wait, [this, pool, name = target.name, chain, estimatedBlocks, cachedBlocks] {
-        pool->noteFirstToken(now(), name, chain, estimatedBlocks,
-                             static_cast<double>(cachedBlocks) * blockTokens);
+        pool->recordFirstToken(now(), name, chain, estimatedBlocks,
+                               static_cast<double>(cachedBlocks) * blockTokens);
     });
 }
 
@@ -206,23 +206,23 @@
 {
     for (std::size_t i = 0; i < m_servers.size(); ++i) {
         simulated_server &each = m_servers[i];
-        const double queue = std::max(0.0, each.busyUntil - m_now);
+        const double queueSeconds = std::max(0.0, each.busyUntil - m_now);
         const load_report load {.incarnation = each.incarnation,
-                                .queuedTokens = queue * prefillRate,
+                                .queuedTokens = queueSeconds * prefillRate,
                                 .prefillRate = prefillRate};
         const std::uint64_t sequence = each.nextSequence++;
         const std::vector<digest128> stored = std::exchange(each.stored, {});
         const std::vector<digest128> evicted = std::exchange(each.evicted, {});
         schedule(reportLagSeconds,
-                 [this, i, queue, load, sequence, stored, evicted, name = each.name] {
-                     m_reportedQueue[i] = queue;
+                 [this, i, queueSeconds, load, sequence, stored, evicted, name = each.name] {
+                     m_reportedQueueSeconds[i] = queueSeconds;
                      for (router &item : m_routers) {
-                         item.pool->noteLoad(now(), name, load);
+                         item.pool->applyLoadReport(now(), name, load);
                          const bool lost = std::uniform_real_distribution<double>(0, 1)(m_random)
                              < eventLossShare;
                          if (!lost)
-                             item.pool->noteEvents(now(), name, load.incarnation, sequence, stored,
-                                                   evicted);
+                             item.pool->applyCacheEvents(now(), name, load.incarnation, sequence,
+                                                         stored, evicted);
                      }
                  });
     }
--- a/libs/routing/benchmarks/routing_simulation.h
+++ b/libs/routing/benchmarks/routing_simulation.h
@@ -35,11 +35,11 @@
     int servers = 18;
     int routers = 8;
     std::size_t cacheBlocks = 130;
-    /// Prompts start with one of these prefixes, which all teams together use, followed by one of
-    /// the variants of the prefix.
+    /// Number of shared prefixes. A prompt consists of one of them, one of its variants and text of
+    /// its own.
     int sharedPrefixes = 40;
     int variantsPerPrefix = 12;
-    /// Time between changes of which prefixes are popular.
+    /// Time between two random reorderings of the prefixes by popularity.
     double popularityShiftSeconds = 30;
     /// When one server crashes and restarts with an empty cache; negative for no crash.
     double crashAtSeconds = -1;
@@ -101,7 +101,7 @@
     double m_now = 0;
     std::vector<simulated_server> m_servers;
     std::vector<router> m_routers;
-    std::vector<double> m_reportedQueue; // seconds, from the last report that arrived
+    std::vector<double> m_reportedQueueSeconds; // from the last report that arrived
     std::vector<std::vector<digest128>> m_sharedPrefixes;
     std::vector<int> m_popularityOrder;
     std::multimap<double, std::function<void()>> m_events;
--- a/libs/routing/include/routing/cache_estimate.h
+++ b/libs/routing/include/routing/cache_estimate.h
@@ -27,17 +27,17 @@
     /// Returns how many leading blocks of @p chain are estimated to be cached at @p now.
     std::size_t cachedPrefixLength(timestamp now, std::span<const digest128> chain) const;
     /// Adds the blocks of @p chain, which a request sent to the server brings into its cache.
-    void noteSent(timestamp now, std::span<const digest128> chain);
+    void recordSent(timestamp now, std::span<const digest128> chain);
     /// Adapts the retention time to an answer which reports that @p cachedBlocks leading blocks of
     /// @p chain had been cached, where @p estimatedBlocks had been estimated. Also refreshes the
     /// blocks.
-    void noteCacheHits(timestamp now, std::span<const digest128> chain, std::size_t cachedBlocks,
-                       std::size_t estimatedBlocks);
+    void recordCacheHits(timestamp now, std::span<const digest128> chain, std::size_t cachedBlocks,
+                         std::size_t estimatedBlocks);
     /// Applies the cache events of the report numbered @p sequence. If reports before it were lost,
     /// first drops the blocks that were not used for half the retention time. A report older than
     /// the newest one is ignored.
-    void noteEvents(timestamp now, std::uint64_t sequence, std::span<const digest128> stored,
-                    std::span<const digest128> evicted);
+    void applyCacheEvents(timestamp now, std::uint64_t sequence, std::span<const digest128> stored,
+                          std::span<const digest128> evicted);
 
     /// Returns how long an unused block is estimated to stay cached.
     duration retention() const { return m_retention; }
--- a/libs/routing/include/routing/crash_tracker.h
+++ b/libs/routing/include/routing/crash_tracker.h
@@ -10,17 +10,17 @@
 
 namespace trefoil {
 
-/// Finds requests that crash backend servers. A request that was in flight on two servers when they
-/// crashed is refused, whoever sends it again, until its record expires. Not thread-safe.
+/// Detects requests that crash backend servers. A request that was in flight during two crashes is
+/// refused, whoever sends it again, until its record expires. Not thread-safe.
 class crash_tracker
 {
 public:
     /// Number of crashes after which a request is refused.
     static constexpr std::size_t crashLimit = 2;
 
-    /// Records that a server crashed while the request with @p requestDigest ran on it. @p event
+    /// Records that a server crashed while the request with @p requestDigest ran on it. @p crashId
     /// identifies the crash: a crash reported twice counts once.
-    void note(timestamp now, digest128 requestDigest, const std::string &event);
+    void recordCrash(timestamp now, digest128 requestDigest, const std::string &crashId);
     /// Returns whether the request with @p requestDigest is refused at @p now.
     bool isRefused(timestamp now, digest128 requestDigest) const;
     /// Returns the number of requests recorded, including expired ones not yet removed.
@@ -29,7 +29,7 @@
 private:
     struct crash_record
     {
-        std::set<std::string> events;
+        std::set<std::string> crashIds;
         timestamp lastCrash;
     };
 
--- a/libs/routing/include/routing/placement.h
+++ b/libs/routing/include/routing/placement.h
@@ -26,12 +26,13 @@
     bool leaving = false;
 };
 
-/// A backend server's report of its load. It is out of date by its transmission delay.
+/// A backend server's report of its load, outdated by the time it took to arrive.
 struct load_report
 {
     std::uint64_t incarnation = 0;
-    /// Number of requests that run and that wait.
+    /// Number of running requests.
     int running = 0;
+    /// Number of waiting requests.
     int queued = 0;
     /// Prompt tokens that wait for prefill.
     double queuedTokens = 0;
@@ -72,21 +73,22 @@
     /// recomputation also delays later requests. The effective weight rises with the mean queue;
     /// see effectiveRecomputeWeight().
     double recomputeWeight = 1;
-    /// Cost in seconds of a server outside the instance's zone.
+    /// Cost in seconds added for a server outside the instance's zone.
     double crossZoneSeconds = 0.003;
     /// Parts of the cost model that the benchmark switches off to measure their effect.
     bool useCacheEstimate = true;
     bool useRendezvousPrior = true;
 };
 
-/// Picks the backend server with the lowest expected time to the first token: its queue time plus
-/// the prefill time of the prompt tokens that are not estimated to be cached. Not thread-safe.
+/// Picks the backend server with the lowest cost: its queue time, the weighted prefill time of the
+/// prompt tokens that are not estimated to be cached, and crossZoneSeconds if it is in another
+/// zone. Not thread-safe.
 ///
 ///     placement pool({ .randomSeed = 1 });
 ///     pool.setServers(servers);
 ///     std::optional<placement_choice> choice = pool.choose(now, { .chain = &chain });
 ///     pool.noteSent(now, choice->server, chain, choice->estimatedCachedBlocks);
-///     pool.noteFirstToken(now, choice->server, ...);  // or noteAborted()
+///     pool.noteFirstToken(now, choice->server, ...);  // or recordAborted()
 class placement
 {
 public:
@@ -101,21 +103,21 @@
     std::optional<placement_choice> choose(timestamp now, const placement_request &request);
 
     /// Records that a request was sent to @p server.
-    void noteSent(timestamp now, std::string_view server, const prefix_chain &chain,
-                  std::size_t estimatedCachedBlocks);
+    void recordSent(timestamp now, std::string_view server, const prefix_chain &chain,
+                    std::size_t estimatedCachedBlocks);
     /// Records the first token of a request: its prefill is done, and @p cachedTokens of the prompt
     /// had been cached; negative if the server did not report it.
-    void noteFirstToken(timestamp now, std::string_view server, const prefix_chain &chain,
-                        std::size_t estimatedCachedBlocks, double cachedTokens);
+    void recordFirstToken(timestamp now, std::string_view server, const prefix_chain &chain,
+                          std::size_t estimatedCachedBlocks, double cachedTokens);
     /// Records that a request ended before its first token.
-    void noteAborted(std::string_view server, const prefix_chain &chain,
-                     std::size_t estimatedCachedBlocks);
+    void recordAborted(std::string_view server, const prefix_chain &chain,
+                       std::size_t estimatedCachedBlocks);
     /// Applies a load report.
-    void noteLoad(timestamp now, std::string_view server, const load_report &report);
-    /// Applies cache events; see cache_estimate::noteEvents().
-    void noteEvents(timestamp now, std::string_view server, std::uint64_t incarnation,
-                    std::uint64_t sequence, std::span<const digest128> stored,
-                    std::span<const digest128> evicted);
+    void applyLoadReport(timestamp now, std::string_view server, const load_report &report);
+    /// Applies cache events; see cache_estimate::applyCacheEvents().
+    void applyCacheEvents(timestamp now, std::string_view server, std::uint64_t incarnation,
+                          std::uint64_t sequence, std::span<const digest128> stored,
+                          std::span<const digest128> evicted);
 
     /// Returns the names of the servers that are neither leaving nor down.
     std::vector<std::string> availableServers(timestamp now) const;
@@ -145,7 +147,7 @@
     double effectiveRecomputeWeight(timestamp now) const;
     std::size_t estimateCachedBlocks(timestamp now, const server_state &state,
                                      const prefix_chain &chain) const;
-    std::vector<std::string_view> rendezvousRanking(digest128 block) const;
+    std::vector<std::string_view> serversInRendezvousOrder(digest128 block) const;
     double prefillRateOf(const server_state &state) const;
     bool isEligible(const server_state &state, const placement_request &request) const;
 
--- a/libs/routing/include/routing/prefix_chain.h
+++ b/libs/routing/include/routing/prefix_chain.h
@@ -16,8 +16,9 @@
 /// Digests of a prompt's blocks. Each digest covers its block and all blocks before it.
 struct prefix_chain
 {
-    /// One digest for each whole block. Two prompts share the digest at depth i only if they have
-    /// the same team, the same model and the same bytes up to the end of block i.
+    /// One digest for each whole block. Two prompts share digest i only if they have the same team,
+    /// the same model and the same bytes up to the end of block i. Prompts with the same bytes
+    /// share it only if they are also divided into the same parts.
     std::vector<digest128> blocks;
     /// Estimated tokens of the whole prompt.
     double tokens = 0;
@@ -30,14 +31,14 @@
 ///     builder.add(userMessage);
 ///     prefix_chain chain = builder.finish();
 ///
-/// Text is hashed in place, without copies. Not thread-safe.
+/// Not thread-safe.
 class prefix_chain_builder
 {
 public:
     /// Starts a chain for prompts of @p team to @p model.
     prefix_chain_builder(std::string_view team, std::string_view model);
 
-    /// Appends @p text to the prompt. The text must not change until finish().
+    /// Appends @p text to the prompt. It is hashed at once and not referenced afterwards.
     void add(std::string_view text);
     /// Returns the chain. Call once.
     prefix_chain finish();
--- a/libs/routing/src/cache_estimate.cpp
+++ b/libs/routing/src/cache_estimate.cpp
@@ -54,28 +54,28 @@
     return length;
 }
 
-void cache_estimate::noteSent(timestamp now, std::span<const digest128> chain)
+void cache_estimate::recordSent(timestamp now, std::span<const digest128> chain)
 {
     for (const digest128 &block : chain)
         m_blocks[cacheKey(block, m_version, m_incarnation)] = now;
     prune(now);
 }
 
-void cache_estimate::noteCacheHits(timestamp now, std::span<const digest128> chain,
-                                   std::size_t cachedBlocks, std::size_t estimatedBlocks)
+void cache_estimate::recordCacheHits(timestamp now, std::span<const digest128> chain,
+                                     std::size_t cachedBlocks, std::size_t estimatedBlocks)
 {
     // The request has put its blocks into the cache even if they were missing before, so they stay
     // in the estimate. A miss only shows that the server keeps blocks for less time than estimated.
-    noteSent(now, chain);
+    recordSent(now, chain);
     if (cachedBlocks < estimatedBlocks)
         m_retention = scaleRetention(m_retention, retentionMissFactor);
     else if (estimatedBlocks > 0)
         m_retention = scaleRetention(m_retention, retentionHitFactor);
 }
 
-void cache_estimate::noteEvents(timestamp now, std::uint64_t sequence,
-                                std::span<const digest128> stored,
-                                std::span<const digest128> evicted)
+void cache_estimate::applyCacheEvents(timestamp now, std::uint64_t sequence,
+                                      std::span<const digest128> stored,
+                                      std::span<const digest128> evicted)
 {
     if (m_nextSequence != 0 && sequence > m_nextSequence) {
         // The lost events may include evictions, so only recently used blocks are kept.
--- a/libs/routing/src/placement.cpp
+++ b/libs/routing/src/placement.cpp
@@ -123,17 +123,17 @@
                                       : 0;
 }
 
-std::vector<std::string_view> placement::rendezvousRanking(digest128 block) const
+std::vector<std::string_view> placement::serversInRendezvousOrder(digest128 block) const
 {
     const std::string key = toHex(block);
     std::vector<std::pair<std::uint64_t, std::string_view>> weighted;
     for (auto it = m_servers.begin(); it != m_servers.end(); ++it)
         weighted.emplace_back(rendezvousWeight(key, it->first), it->first);
     std::sort(weighted.rbegin(), weighted.rend());
-    std::vector<std::string_view> ranking;
+    std::vector<std::string_view> servers;
     for (const std::pair<std::uint64_t, std::string_view> &each : weighted)
-        ranking.push_back(each.second);
-    return ranking;
+        servers.push_back(each.second);
+    return servers;
 }
 
 std::optional<placement_choice> placement::choose(timestamp now, const placement_request &request)
@@ -144,7 +144,7 @@
     std::map<std::string_view, double> priorCachedShare;
     if (m_options.useRendezvousPrior && !chain.blocks.empty()) {
         double share = rendezvousPrior;
-        for (const std::string_view server : rendezvousRanking(chain.blocks.front())) {
+        for (const std::string_view server : serversInRendezvousOrder(chain.blocks.front())) {
             priorCachedShare[server] = share;
             share *= rendezvousPriorDecay;
         }
@@ -177,8 +177,8 @@
     return ties[m_random() % ties.size()];
 }
 
-void placement::noteSent(timestamp now, std::string_view server, const prefix_chain &chain,
-                         std::size_t estimatedCachedBlocks)
+void placement::recordSent(timestamp now, std::string_view server, const prefix_chain &chain,
+                           std::size_t estimatedCachedBlocks)
 {
     const auto found = m_servers.find(server);
     if (found == m_servers.end())
@@ -189,22 +189,22 @@
     state.backlogTokens += uncached;
     state.backlogUpdatedAt = now;
     state.pendingPrefillTokens += uncached;
-    state.cacheEstimate.noteSent(now, chain.blocks);
+    state.cacheEstimate.recordSent(now, chain.blocks);
 }
 
-void placement::noteFirstToken(timestamp now, std::string_view server, const prefix_chain &chain,
-                               std::size_t estimatedCachedBlocks, double cachedTokens)
+void placement::recordFirstToken(timestamp now, std::string_view server, const prefix_chain &chain,
+                                 std::size_t estimatedCachedBlocks, double cachedTokens)
 {
-    noteAborted(server, chain, estimatedCachedBlocks);
+    recordAborted(server, chain, estimatedCachedBlocks);
     const auto found = m_servers.find(server);
     if (found == m_servers.end() || cachedTokens < 0)
         return;
     const std::size_t cached = static_cast<std::size_t>(cachedTokens / blockTokens + 0.5);
-    found->second.cacheEstimate.noteCacheHits(now, chain.blocks, cached, estimatedCachedBlocks);
+    found->second.cacheEstimate.recordCacheHits(now, chain.blocks, cached, estimatedCachedBlocks);
 }
 
-void placement::noteAborted(std::string_view server, const prefix_chain &chain,
-                            std::size_t estimatedCachedBlocks)
+void placement::recordAborted(std::string_view server, const prefix_chain &chain,
+                              std::size_t estimatedCachedBlocks)
 {
     const auto found = m_servers.find(server);
     if (found == m_servers.end())
@@ -214,7 +214,7 @@
         std::max(0.0, found->second.pendingPrefillTokens - uncached);
 }
 
-void placement::noteLoad(timestamp now, std::string_view server, const load_report &report)
+void placement::applyLoadReport(timestamp now, std::string_view server, const load_report &report)
 {
     const auto found = m_servers.find(server);
     if (found == m_servers.end())
@@ -230,9 +230,9 @@
         state.prefillRate = report.prefillRate;
 }
 
-void placement::noteEvents(timestamp now, std::string_view server, std::uint64_t incarnation,
-                           std::uint64_t sequence, std::span<const digest128> stored,
-                           std::span<const digest128> evicted)
+void placement::applyCacheEvents(timestamp now, std::string_view server, std::uint64_t incarnation,
+                                 std::uint64_t sequence, std::span<const digest128> stored,
+                                 std::span<const digest128> evicted)
 {
     const auto found = m_servers.find(server);
     if (found == m_servers.end())
@@ -242,7 +242,7 @@
         state.incarnation = incarnation;
         state.cacheEstimate.setIdentity(state.server.version, incarnation);
     }
-    state.cacheEstimate.noteEvents(now, sequence, stored, evicted);
+    state.cacheEstimate.applyCacheEvents(now, sequence, stored, evicted);
 }
 
 std::vector<std::string> placement::availableServers(timestamp now) const
--- a/libs/routing/tests/crash_tracker_test.cpp
+++ b/libs/routing/tests/crash_tracker_test.cpp
@@ -9,10 +9,10 @@
     const timestamp now {std::chrono::seconds(100)};
     const digest128 requestDigest = digestOf("a request");
     crash_tracker tracker;
-    tracker.note(now, requestDigest, "w1/5");
-    tracker.note(now, requestDigest, "w1/5");
+    tracker.recordCrash(now, requestDigest, "w1/5");
+    tracker.recordCrash(now, requestDigest, "w1/5");
     EXPECT_FALSE(tracker.isRefused(now, requestDigest));
-    tracker.note(now, requestDigest, "w2/9");
+    tracker.recordCrash(now, requestDigest, "w2/9");
     EXPECT_TRUE(tracker.isRefused(now, requestDigest));
     EXPECT_FALSE(tracker.isRefused(now, digestOf("another")));
     EXPECT_FALSE(tracker.isRefused(now + std::chrono::minutes(31), requestDigest));
--- a/libs/routing/tests/placement_test.cpp
+++ b/libs/routing/tests/placement_test.cpp
@@ -30,8 +30,8 @@
     pool.setServers(threeServers());
     const prefix_chain chain = chainOf(std::string(64000, 'a'));
     const std::string first = pool.choose(now, {.chain = &chain})->server;
-    pool.noteSent(now, first, chain, 0);
-    pool.noteFirstToken(now, first, chain, 0, 0);
+    pool.recordSent(now, first, chain, 0);
+    pool.recordFirstToken(now, first, chain, 0, 0);
     const std::optional<placement_choice> again =
         pool.choose(now + std::chrono::seconds(1), {.chain = &chain});
     EXPECT_EQ(again->server, first);
@@ -44,9 +44,9 @@
     pool.setServers(threeServers());
     const prefix_chain chain = chainOf(std::string(64000, 'a'));
     const std::string first = pool.choose(now, {.chain = &chain})->server;
-    pool.noteSent(now, first, chain, 0);
-    pool.noteFirstToken(now, first, chain, 0, 0);
-    pool.noteLoad(now, first, {.incarnation = 0, .queuedTokens = 100000});
+    pool.recordSent(now, first, chain, 0);
+    pool.recordFirstToken(now, first, chain, 0, 0);
+    pool.applyLoadReport(now, first, {.incarnation = 0, .queuedTokens = 100000});
     EXPECT_NE(pool.choose(now, {.chain = &chain})->server, first);
 }
 
@@ -81,10 +81,10 @@
     placement pool({.randomSeed = 1});
     pool.setServers({{.name = "w1", .zone = "a", .version = "v1"}});
     const prefix_chain chain = chainOf(std::string(64000, 'a'));
-    pool.noteLoad(now, "w1", {.incarnation = 1});
-    pool.noteSent(now, "w1", chain, 0);
+    pool.applyLoadReport(now, "w1", {.incarnation = 1});
+    pool.recordSent(now, "w1", chain, 0);
     EXPECT_EQ(pool.choose(now, {.chain = &chain})->estimatedCachedBlocks, 4u);
-    pool.noteLoad(now, "w1", {.incarnation = 2});
+    pool.applyLoadReport(now, "w1", {.incarnation = 2});
     EXPECT_EQ(pool.choose(now, {.chain = &chain})->estimatedCachedBlocks, 0u);
 }
 
--- a/libs/routing/tests/prefix_chain_test.cpp
+++ b/libs/routing/tests/prefix_chain_test.cpp
@@ -39,7 +39,7 @@
         const std::string text(16000 * (1 + random() % 5), static_cast<char>('a' + random() % 3));
         const prefix_chain own = chainOf("reef", "m", text);
         cache_estimate cacheEstimate("v1", 7);
-        cacheEstimate.noteSent(now, own.blocks);
+        cacheEstimate.recordSent(now, own.blocks);
         EXPECT_EQ(cacheEstimate.cachedPrefixLength(now, own.blocks), own.blocks.size());
         EXPECT_EQ(cacheEstimate.cachedPrefixLength(now, chainOf("dune", "m", text).blocks), 0u);
         EXPECT_EQ(cacheEstimate.cachedPrefixLength(now, chainOf("reef", "n", text).blocks), 0u);
@@ -59,11 +59,11 @@
     timestamp now {std::chrono::seconds(100)};
     const prefix_chain chain = chainOf("reef", "m", std::string(32000, 'a'));
     cache_estimate cacheEstimate("v1", 1);
-    cacheEstimate.noteSent(now, chain.blocks);
+    cacheEstimate.recordSent(now, chain.blocks);
     EXPECT_EQ(cacheEstimate.cachedPrefixLength(now + std::chrono::seconds(10), chain.blocks), 2u);
     EXPECT_EQ(cacheEstimate.cachedPrefixLength(now + std::chrono::seconds(30), chain.blocks), 0u);
     const duration before = cacheEstimate.retention();
-    cacheEstimate.noteCacheHits(now, chain.blocks, 0, 2);
+    cacheEstimate.recordCacheHits(now, chain.blocks, 0, 2);
     EXPECT_LT(cacheEstimate.retention(), before);
 }
 
@@ -73,22 +73,24 @@
     const prefix_chain chain = chainOf("reef", "m", std::string(32000, 'a'));
     const std::vector<digest128> none;
     cache_estimate cacheEstimate("v1", 1);
-    const duration half = cacheEstimate.retention() / 2;
-    const duration little = std::chrono::milliseconds(10);
+    const duration halfRetention = cacheEstimate.retention() / 2;
+    const duration shortDelay = std::chrono::milliseconds(10);
 
-    cacheEstimate.noteEvents(start, 1, chain.blocks, none);
-    cacheEstimate.noteEvents(start + half + little, 2, none, none);
-    EXPECT_EQ(cacheEstimate.cachedPrefixLength(start + half + little, chain.blocks), 2u)
+    cacheEstimate.applyCacheEvents(start, 1, chain.blocks, none);
+    cacheEstimate.applyCacheEvents(start + halfRetention + shortDelay, 2, none, none);
+    EXPECT_EQ(cacheEstimate.cachedPrefixLength(start + halfRetention + shortDelay, chain.blocks),
+              2u)
         << "no gap";
 
     cache_estimate recentlyUsed = cacheEstimate;
-    recentlyUsed.noteSent(start + little * 2, chain.blocks);
-    recentlyUsed.noteEvents(start + half + little, 9, none, none);
-    EXPECT_EQ(recentlyUsed.cachedPrefixLength(start + half + little, chain.blocks), 2u)
+    recentlyUsed.recordSent(start + shortDelay * 2, chain.blocks);
+    recentlyUsed.applyCacheEvents(start + halfRetention + shortDelay, 9, none, none);
+    EXPECT_EQ(recentlyUsed.cachedPrefixLength(start + halfRetention + shortDelay, chain.blocks), 2u)
         << "used recently";
 
-    cacheEstimate.noteEvents(start + half + little, 9, none, none);
-    EXPECT_EQ(cacheEstimate.cachedPrefixLength(start + half + little, chain.blocks), 0u)
+    cacheEstimate.applyCacheEvents(start + halfRetention + shortDelay, 9, none, none);
+    EXPECT_EQ(cacheEstimate.cachedPrefixLength(start + halfRetention + shortDelay, chain.blocks),
+              0u)
         << "a gap, not used recently";
 }
 
@@ -98,10 +100,10 @@
     const prefix_chain chain = chainOf("reef", "m", std::string(48000, 'a'));
     const std::vector<digest128> none;
     cache_estimate cacheEstimate("v1", 1);
-    cacheEstimate.noteSent(now, chain.blocks);
+    cacheEstimate.recordSent(now, chain.blocks);
     now += std::chrono::seconds(3);
     const std::vector<digest128> evicted {chain.blocks[1]};
-    cacheEstimate.noteEvents(now, 1, none, evicted);
+    cacheEstimate.applyCacheEvents(now, 1, none, evicted);
     EXPECT_EQ(cacheEstimate.cachedPrefixLength(now, chain.blocks), 1u);
 }
 
--- a/trefoilrouter/src/edge/peer_exchange.cpp
+++ b/trefoilrouter/src/edge/peer_exchange.cpp
@@ -246,7 +246,7 @@
 void peer_exchange::applyOutcomes(timestamp now, const peer_report &report, routing_state &routing)
 {
     for (const crash_record &note : report.crashes)
-        routing.crashes.note(now, note.request, note.event);
+        routing.crashes.recordCrash(now, note.request, note.event);
     for (const release_outcomes &each : report.releases) {
         outcome_counts &reported =
             m_reportedOutcomes[report.from + "/" + std::to_string(report.incarnation) + "/"
--- a/trefoilrouter/src/edge/request_runner.cpp
+++ b/trefoilrouter/src/edge/request_runner.cpp
@@ -668,7 +668,7 @@
     const timestamp now = boot_clock::now();
     const crash_record note {.request = m_bodyDigest, .event = current.placed.server};
     m_state.with([&](routing_state &routing) {
-        routing.crashes.note(now, note.request, note.event);
+        routing.crashes.recordCrash(now, note.request, note.event);
         std::erase_if(routing.localCrashes,
                       [now](const auto &each) { return now - each.first > crashReportTime; });
         routing.localCrashes.emplace_back(now, note);
