--- a/libs/control/src/control_node.cpp
+++ b/libs/control/src/control_node.cpp
@@ -137,7 +137,7 @@
         sendPeer(std::move(call.to), std::visit(toPeer, std::move(call.request)),
                  gossip_context {.id = call.id});
     }
-    for (const std::pair<std::uint64_t, bool> &relayed : m_members.takeRelayed())
+    for (const std::pair<std::uint64_t, bool> &relayed : m_members.takeFinishedRelays())
         m_actions.push_back(peer_reply {.token = relayed.first,
                                         .answer = gossip_relayed {.reached = relayed.second}});
     for (const rumor &item : m_members.takeUpdates())
--- a/libs/gossip/include/gossip/membership.h
+++ b/libs/gossip/include/gossip/membership.h
@@ -98,7 +98,7 @@
 struct membership_options
 {
     member_info self;
-    /// "address:port" of the peers to contact first. One is also contacted now and then later.
+    /// "address:port" of the peers to contact first. Later, one of them is contacted occasionally.
     std::vector<std::string> seeds;
     std::uint64_t randomSeed = 0;
     /// Protocol period: one member is probed per period.
@@ -141,7 +141,7 @@
     std::vector<gossip_call> tick(timestamp now);
     /// Handles a peer's request and returns the answer. For a gossip_relay it returns nothing: the
     /// next tick() returns the call to the target, and the caller answers the request once
-    /// takeRelayed() returns @p relayId.
+    /// takeFinishedRelays() returns @p relayId.
     std::optional<gossip_answer> onRequest(timestamp now, const gossip_request &request,
                                            std::uint64_t relayId);
     /// Handles the answer to the call @p id. An unknown id is ignored.
@@ -149,7 +149,7 @@
     /// Handles the failure of the call @p id. An unknown id is ignored.
     void onFailure(timestamp now, std::uint64_t id);
     /// Returns and removes the finished relays: their relay id, and whether the target answered.
-    std::vector<std::pair<std::uint64_t, bool>> takeRelayed();
+    std::vector<std::pair<std::uint64_t, bool>> takeFinishedRelays();
 
     /// @}
     /// @name Rumors
@@ -211,13 +211,13 @@
     void expireSuspicions(timestamp now);
     std::string nextTarget();
     std::vector<member> randomPeers(std::size_t count, std::string_view except);
-    gossip_call call(timestamp now, std::string to, gossip_request request,
-                     pending_call pendingCall);
+    gossip_call registerCall(timestamp now, std::string to, gossip_request request,
+                             pending_call pendingCall);
     std::vector<rumor> pickRumors();
     void mergeRumors(timestamp now, const std::vector<rumor> &rumors);
     void mergeMember(timestamp now, const rumor &item);
     void publishSelf();
-    void publishState(const member &about);
+    void publishState(const member &subject);
     void markSuspect(timestamp now, std::string_view name);
     void removeProbe(std::string_view name);
     void failProbe(timestamp now, std::string_view name);
@@ -232,18 +232,18 @@
     std::map<std::string, timestamp, std::less<>> m_suspectedAt;
     std::map<std::string, timestamp, std::less<>> m_diedAt;
     std::vector<std::string> m_probeOrder;
-    std::optional<timestamp> m_nextPeriod;
-    int m_periods = 0;
+    std::optional<timestamp> m_nextPeriodAt;
+    int m_periodCount = 0;
     bool m_hasUrgentRumors = false;
     std::uint64_t m_nextId = 1;
     std::map<std::uint64_t, pending_call> m_calls;
     std::map<std::string, probe, std::less<>> m_probes;
     std::vector<std::pair<std::uint64_t, std::string>> m_relayQueue;
-    std::vector<std::pair<std::uint64_t, bool>> m_relayed;
+    std::vector<std::pair<std::uint64_t, bool>> m_finishedRelays;
 };
 
-/// Returns the rumor that disseminates the state of @p about. Thread-safe.
-rumor toRumor(const member &about);
+/// Returns the rumor that disseminates the state of @p subject. Thread-safe.
+rumor toRumor(const member &subject);
 
 /// Parses a rumor of the member topic. Returns nothing if it is malformed. Thread-safe.
 std::optional<member> memberFromRumor(const rumor &item);
--- a/libs/gossip/src/membership.cpp
+++ b/libs/gossip/src/membership.cpp
@@ -30,19 +30,19 @@
 
 } // namespace
 
-rumor toRumor(const member &about)
+rumor toRumor(const member &subject)
 {
     Json::Value payload(Json::objectValue);
-    payload["z"] = about.info.zone;
-    payload["r"] = about.info.region;
-    payload["c"] = about.info.callers;
-    payload["p"] = about.info.peers;
-    if (about.info.leaving)
+    payload["z"] = subject.info.zone;
+    payload["r"] = subject.info.region;
+    payload["c"] = subject.info.callers;
+    payload["p"] = subject.info.peers;
+    if (subject.info.leaving)
         payload["l"] = true;
-    const std::uint64_t state = static_cast<std::uint64_t>(about.state);
+    const std::uint64_t state = static_cast<std::uint64_t>(subject.state);
     return {.topic = membership::memberTopic,
-            .key = about.info.name,
-            .version = about.info.incarnation * statesPerIncarnation + state,
+            .key = subject.info.name,
+            .version = subject.info.incarnation * statesPerIncarnation + state,
             .payload = writeJson(payload)};
 }
 
@@ -52,16 +52,16 @@
     const std::uint64_t state = item.version % statesPerIncarnation;
     if (!payload || !payload->isObject() || state > static_cast<std::uint64_t>(member_state::Dead))
         return std::nullopt;
-    member about;
-    about.info.name = item.key;
-    about.info.zone = textOr(*payload, "z");
-    about.info.region = textOr(*payload, "r");
-    about.info.callers = textOr(*payload, "c");
-    about.info.peers = textOr(*payload, "p");
-    about.info.leaving = flagOr(*payload, "l");
-    about.info.incarnation = item.version / statesPerIncarnation;
-    about.state = static_cast<member_state>(state);
-    return about;
+    member subject;
+    subject.info.name = item.key;
+    subject.info.zone = textOr(*payload, "z");
+    subject.info.region = textOr(*payload, "r");
+    subject.info.callers = textOr(*payload, "c");
+    subject.info.peers = textOr(*payload, "p");
+    subject.info.leaving = flagOr(*payload, "l");
+    subject.info.incarnation = item.version / statesPerIncarnation;
+    subject.state = static_cast<member_state>(state);
+    return subject;
 }
 
 membership::membership(membership_options options)
@@ -77,8 +77,8 @@
     std::vector<gossip_call> calls;
     expireCalls(now);
     expireSuspicions(now);
-    if (!m_nextPeriod || now >= *m_nextPeriod) {
-        m_nextPeriod = now + m_options.period;
+    if (!m_nextPeriodAt || now >= *m_nextPeriodAt) {
+        m_nextPeriodAt = now + m_options.period;
         startPeriod(now, calls);
     }
     advanceProbes(now, calls);
@@ -86,8 +86,8 @@
         sendUrgentRumors(now, calls);
     for (const std::pair<std::uint64_t, std::string> &relay : m_relayQueue) {
         calls.push_back(
-            call(now, relay.second, gossip_ping {.from = m_options.self.name, .rumors = {}},
-                 {.kind = pending_call::call_kind::RelayTarget, .relayId = relay.first}));
+            registerCall(now, relay.second, gossip_ping {.from = m_options.self.name, .rumors = {}},
+                         {.kind = pending_call::call_kind::RelayTarget, .relayId = relay.first}));
     }
     m_relayQueue.clear();
     return calls;
@@ -95,9 +95,9 @@
 
 void membership::startPeriod(timestamp now, std::vector<gossip_call> &calls)
 {
-    ++m_periods;
+    ++m_periodCount;
     startProbe(now, calls);
-    if (m_periods % m_options.syncPeriods == 1 || m_members.size() <= 1)
+    if (m_periodCount % m_options.syncPeriods == 1 || m_members.size() <= 1)
         startSync(now, calls);
 }
 
@@ -110,9 +110,9 @@
     m_probes[target] = {.name = target,
                         .address = address,
                         .deadline = now + m_options.period / directProbeDivisor};
-    calls.push_back(call(now, address,
-                         gossip_ping {.from = m_options.self.name, .rumors = pickRumors()},
-                         {.kind = pending_call::call_kind::Probe, .name = target}));
+    calls.push_back(registerCall(now, address,
+                                 gossip_ping {.from = m_options.self.name, .rumors = pickRumors()},
+                                 {.kind = pending_call::call_kind::Probe, .name = target}));
 }
 
 std::string membership::nextTarget()
@@ -142,12 +142,12 @@
 void membership::startSync(timestamp now, std::vector<gossip_call> &calls)
 {
     // While no other member is known, every seed is contacted: instances that start together could
-    // otherwise form separate groups around different seeds. Later one seed is contacted now and
-    // then, so that the halves of a partitioned fleet find each other again.
+    // otherwise form separate groups around different seeds. Later, one sync in syncsPerSeedContact
+    // goes to a seed, so that the halves of a partitioned fleet find each other again.
     constexpr int syncsPerSeedContact = 4;
     const std::vector<member> peers = randomPeers(1, {});
     std::vector<std::string> addresses;
-    const bool contactsSeed = (m_periods / m_options.syncPeriods) % syncsPerSeedContact == 0;
+    const bool contactsSeed = (m_periodCount / m_options.syncPeriods) % syncsPerSeedContact == 0;
     for (const std::string &seed : m_options.seeds) {
         if (seed != m_options.self.peers)
             addresses.push_back(seed);
@@ -159,23 +159,23 @@
             addresses.push_back(peers.front().info.peers);
     }
     for (const std::string &address : addresses) {
-        calls.push_back(call(now, address,
-                             gossip_sync {.from = m_options.self.name, .hashes = m_rumors.hashes()},
-                             {}));
+        calls.push_back(registerCall(
+            now, address, gossip_sync {.from = m_options.self.name, .hashes = m_rumors.hashes()},
+            {}));
         const rumor &self = *m_rumors.find(memberTopic, m_options.self.name);
-        calls.push_back(
-            call(now, address, gossip_ping {.from = m_options.self.name, .rumors = {self}}, {}));
+        calls.push_back(registerCall(
+            now, address, gossip_ping {.from = m_options.self.name, .rumors = {self}}, {}));
     }
 }
 
 void membership::sendUrgentRumors(timestamp now, std::vector<gossip_call> &calls)
 {
-    // All peers get the same rumors. Distributed among the peers, each rumor would reach too few of
-    // them to spread quickly.
+    // All peers get the same rumors. If the rumors were divided among the peers, each rumor would
+    // reach too few of them to spread quickly.
     const std::vector<rumor> rumors = pickRumors();
     for (const member &peer : randomPeers(static_cast<std::size_t>(m_options.urgentFanout), {})) {
-        calls.push_back(call(now, peer.info.peers,
-                             gossip_ping {.from = m_options.self.name, .rumors = rumors}, {}));
+        calls.push_back(registerCall(
+            now, peer.info.peers, gossip_ping {.from = m_options.self.name, .rumors = rumors}, {}));
     }
     // With three peers, one round misses about one member in twenty and two rounds miss one in four
     // hundred. Urgent rumors that did not fit into the message are sent with the next tick.
@@ -195,9 +195,9 @@
         pending.deadline = now + m_options.period;
         for (const member &relay : relays) {
             calls.push_back(
-                call(now, relay.info.peers,
-                     gossip_relay {.from = m_options.self.name, .target = pending.address},
-                     {.kind = pending_call::call_kind::Relay, .name = pending.name}));
+                registerCall(now, relay.info.peers,
+                             gossip_relay {.from = m_options.self.name, .target = pending.address},
+                             {.kind = pending_call::call_kind::Relay, .name = pending.name}));
         }
     }
     std::vector<std::string> failed;
@@ -246,9 +246,9 @@
     for (const std::string &name : deadNames) {
         m_suspectedAt.erase(name);
         m_diedAt[name] = now;
-        member &about = m_members.at(name);
-        about.state = member_state::Dead;
-        publishState(about);
+        member &subject = m_members.at(name);
+        subject.state = member_state::Dead;
+        publishState(subject);
     }
     std::vector<std::string> expiredNames;
     for (auto it = m_diedAt.begin(); it != m_diedAt.end(); ++it) {
@@ -277,8 +277,8 @@
     return peers;
 }
 
-gossip_call membership::call(timestamp now, std::string to, gossip_request request,
-                             pending_call pendingCall)
+gossip_call membership::registerCall(timestamp now, std::string to, gossip_request request,
+                                     pending_call pendingCall)
 {
     const std::uint64_t id = m_nextId++;
     pendingCall.deadline = now + m_options.period;
@@ -306,7 +306,8 @@
     }
     const gossip_sync &sync = std::get<gossip_sync>(request);
     // At most two buckets are sent to bound the answer; the rest follows with the next syncs. A new
-    // member, whose buckets are nearly all empty, gets everything because it can't work without.
+    // member, whose buckets are nearly all empty, gets all differing ones, because it can't work
+    // without them.
     constexpr std::size_t maxBuckets = 2;
     const bucket_hashes own = m_rumors.hashes();
     std::vector<std::size_t> differing;
@@ -340,7 +341,7 @@
     if (finishedCall.kind == pending_call::call_kind::Probe)
         removeProbe(finishedCall.name);
     if (finishedCall.kind == pending_call::call_kind::RelayTarget)
-        m_relayed.emplace_back(finishedCall.relayId, true);
+        m_finishedRelays.emplace_back(finishedCall.relayId, true);
     if (finishedCall.kind != pending_call::call_kind::Relay)
         return;
     const gossip_relayed *relayed = std::get_if<gossip_relayed>(&answer);
@@ -365,12 +366,12 @@
     if (finishedCall.kind == pending_call::call_kind::Relay && pending != m_probes.end())
         --pending->second.pendingRelays;
     if (finishedCall.kind == pending_call::call_kind::RelayTarget)
-        m_relayed.emplace_back(finishedCall.relayId, false);
+        m_finishedRelays.emplace_back(finishedCall.relayId, false);
 }
 
-std::vector<std::pair<std::uint64_t, bool>> membership::takeRelayed()
+std::vector<std::pair<std::uint64_t, bool>> membership::takeFinishedRelays()
 {
-    return std::exchange(m_relayed, {});
+    return std::exchange(m_finishedRelays, {});
 }
 
 bool membership::publish(const rumor &item)
@@ -397,15 +398,15 @@
 
 void membership::mergeMember(timestamp now, const rumor &item)
 {
-    const std::optional<member> about = memberFromRumor(item);
-    if (!about)
+    const std::optional<member> subject = memberFromRumor(item);
+    if (!subject)
         return;
-    if (about->info.name == m_options.self.name) {
-        const bool isRefutationNeeded = about->info.incarnation > m_options.self.incarnation
-            || (about->info.incarnation == m_options.self.incarnation
-                && about->state != member_state::Alive);
+    if (subject->info.name == m_options.self.name) {
+        const bool isRefutationNeeded = subject->info.incarnation > m_options.self.incarnation
+            || (subject->info.incarnation == m_options.self.incarnation
+                && subject->state != member_state::Alive);
         if (isRefutationNeeded) {
-            m_options.self.incarnation = about->info.incarnation + 1;
+            m_options.self.incarnation = subject->info.incarnation + 1;
             publishSelf();
         }
         return;
@@ -413,14 +414,14 @@
     if (!m_rumors.merge(item))
         return;
     m_updates.push_back(item);
-    m_members[about->info.name] = *about;
-    m_suspectedAt.erase(about->info.name);
-    m_diedAt.erase(about->info.name);
-    if (about->state == member_state::Suspect)
-        m_suspectedAt[about->info.name] = now;
-    if (about->state == member_state::Dead) {
-        m_diedAt[about->info.name] = now;
-        removeProbe(about->info.name);
+    m_members[subject->info.name] = *subject;
+    m_suspectedAt.erase(subject->info.name);
+    m_diedAt.erase(subject->info.name);
+    if (subject->state == member_state::Suspect)
+        m_suspectedAt[subject->info.name] = now;
+    if (subject->state == member_state::Dead) {
+        m_diedAt[subject->info.name] = now;
+        removeProbe(subject->info.name);
     }
 }
 
@@ -434,18 +435,18 @@
     publishState(found->second);
 }
 
-void membership::publishState(const member &about)
+void membership::publishState(const member &subject)
 {
-    const rumor item = toRumor(about);
+    const rumor item = toRumor(subject);
     if (m_rumors.merge(item))
         m_updates.push_back(item);
 }
 
 void membership::publishSelf()
 {
-    const member about {.info = m_options.self, .state = member_state::Alive};
-    m_members[m_options.self.name] = about;
-    m_rumors.merge(toRumor(about));
+    const member subject {.info = m_options.self, .state = member_state::Alive};
+    m_members[m_options.self.name] = subject;
+    m_rumors.merge(toRumor(subject));
 }
 
 void membership::setLeaving()
--- a/libs/gossip/tests/membership_test.cpp
+++ b/libs/gossip/tests/membership_test.cpp
@@ -10,8 +10,8 @@
 
 namespace {
 
-/// Simulates a fleet in virtual time. A call is answered at once, unless its link is down, or fails
-/// or gets no answer because its target is stopped or frozen.
+/// Simulates a fleet in virtual time. A call to a running member is answered at once. It fails if
+/// the target is stopped, and gets no answer if the link is down or the target is paused.
 class fleet
 {
 public:
@@ -50,10 +50,10 @@
     }
 
     /// Returns whether the link between two members is up. Tests replace it to break links.
-    std::function<bool(const std::string &, const std::string &)> link =
+    std::function<bool(const std::string &, const std::string &)> isLinkUp =
         [](const std::string &, const std::string &) { return true; };
     /// Members that neither run nor answer.
-    std::set<std::string> frozen;
+    std::set<std::string> paused;
     std::size_t messages = 0;
 
 private:
@@ -63,11 +63,12 @@
         for (auto it = m_nodes.begin(); it != m_nodes.end(); ++it)
             names.push_back(it->first);
         for (const std::string &name : names) {
-            if (frozen.contains(name))
+            if (paused.contains(name))
                 continue;
             for (const gossip_call &call : m_nodes[name]->tick(m_now))
                 deliver(name, call);
-            for (const std::pair<std::uint64_t, bool> &relayed : m_nodes[name]->takeRelayed())
+            for (const std::pair<std::uint64_t, bool> &relayed :
+                 m_nodes[name]->takeFinishedRelays())
                 answerRelay(relayed);
         }
     }
@@ -80,7 +81,7 @@
             m_nodes[from]->onFailure(m_now, call.id);
             return;
         }
-        if (!link(from, call.to) || frozen.contains(call.to))
+        if (!isLinkUp(from, call.to) || paused.contains(call.to))
             return; // no answer: the call times out at the sender
         const std::uint64_t relayId = m_nextRelay++;
         const std::optional<gossip_answer> answer =
@@ -152,10 +153,10 @@
 {
     fleet testFleet(8);
     testFleet.run(std::chrono::seconds(15));
-    testFleet.frozen.insert(fleet::nameOf(5));
+    testFleet.paused.insert(fleet::nameOf(5));
     testFleet.run(std::chrono::seconds(20));
     EXPECT_EQ(aliveMembersSeenBy(testFleet, 0), 7u);
-    testFleet.frozen.clear();
+    testFleet.paused.clear();
     testFleet.run(std::chrono::seconds(20));
     for (int i = 0; i < 8; ++i)
         EXPECT_EQ(aliveMembersSeenBy(testFleet, i), 8u) << i;
@@ -165,7 +166,7 @@
 {
     fleet testFleet(8);
     testFleet.run(std::chrono::seconds(15));
-    testFleet.link = [](const std::string &from, const std::string &to) {
+    testFleet.isLinkUp = [](const std::string &from, const std::string &to) {
         return !((from == fleet::nameOf(0) && to == fleet::nameOf(1))
                  || (from == fleet::nameOf(1) && to == fleet::nameOf(0)));
     };
@@ -180,12 +181,12 @@
     fleet testFleet(8);
     testFleet.run(std::chrono::seconds(15));
     const auto isInFirstHalf = [](const std::string &name) { return name < fleet::nameOf(4); };
-    testFleet.link = [isInFirstHalf](const std::string &from, const std::string &to) {
+    testFleet.isLinkUp = [isInFirstHalf](const std::string &from, const std::string &to) {
         return isInFirstHalf(from) == isInFirstHalf(to);
     };
     testFleet.run(std::chrono::seconds(60));
     EXPECT_EQ(aliveMembersSeenBy(testFleet, 0), 4u);
-    testFleet.link = [](const std::string &, const std::string &) { return true; };
+    testFleet.isLinkUp = [](const std::string &, const std::string &) { return true; };
     testFleet.run(std::chrono::seconds(60));
     for (int i = 0; i < 8; ++i)
         EXPECT_EQ(aliveMembersSeenBy(testFleet, i), 8u) << i;
@@ -217,15 +218,15 @@
 
 TEST(Membership, MessageRateOfANodeDoesNotGrowWithTheFleet)
 {
-    const auto perNodeSecond = [](int size) {
+    const auto messagesPerNodeSecond = [](int size) {
         fleet testFleet(size);
         testFleet.run(std::chrono::seconds(40));
         testFleet.messages = 0;
         testFleet.run(std::chrono::seconds(20));
         return static_cast<double>(testFleet.messages) / size / 20;
     };
-    const double smallFleetRate = perNodeSecond(8);
-    const double largeFleetRate = perNodeSecond(80);
+    const double smallFleetRate = messagesPerNodeSecond(8);
+    const double largeFleetRate = messagesPerNodeSecond(80);
     EXPECT_LT(largeFleetRate, smallFleetRate * 1.2);
 }
 
--- a/libs/gossip/tests/rumor_store_test.cpp
+++ b/libs/gossip/tests/rumor_store_test.cpp
@@ -18,7 +18,7 @@
     rumor_store store;
     for (int i = 0; i < 10; ++i)
         store.merge({.topic = "t", .key = std::to_string(i), .version = 1, .payload = "x"});
-    const std::vector<rumor> first = store.pick(27 * 4, 2);
+    const std::vector<rumor> first = store.pick(27 * 4, 2); // the encoded size of each is 27 bytes
     ASSERT_EQ(first.size(), 4u);
     std::size_t total = first.size();
     for (int i = 0; i < 20; ++i)
