--- a/libs/control/src/request_coordinator.cpp
+++ b/libs/control/src/request_coordinator.cpp
@@ -151,7 +151,7 @@
     const std::uint64_t id = request.id;
     request_state &state = m_requests[id];
     state.request = std::move(request);
-    m_budgets[state.request.pool].noteRequest();
+    m_budgets[state.request.pool].recordRequest();
     if (m_crashes.isRefused(now, state.request.body)) {
         refuse(now, state,
                {.status = 422,
@@ -259,7 +259,7 @@
                                 .id = state.request.id,
                                 .name = name,
                                 .text = state.idempotencyClaim->text(),
-                                .expected = state.idempotencyClaim->expected()});
+                                .expected = state.idempotencyClaim->expectedVersion()});
         return;
     case claim_step::Read:
         m_claimCalls.push_back(
@@ -272,7 +272,7 @@
         const std::uint64_t id = state.request.id;
         m_decisions.push_back(
             {.id = id,
-             .action = replay_decision {.recorded = state.idempotencyClaim->recorded()},
+             .action = replay_decision {.recorded = state.idempotencyClaim->storedRecord()},
              .validUntil = now + decisionValidity});
         m_limits.finish(now, id, 0);
         m_requests.erase(id);
--- a/libs/delivery/include/delivery/claim.h
+++ b/libs/delivery/include/delivery/claim.h
@@ -39,8 +39,8 @@
 
 /// Next action for a claim.
 enum class claim_step {
-    /// Write text() to the object on condition that its version is expected(), where 0 means that
-    /// it does not exist.
+    /// Write text() to the object on condition that its version is expectedVersion(), where 0
+    /// means that it does not exist.
     Create,
     /// Read the object.
     Read,
@@ -68,7 +68,7 @@
 {
 public:
     /// @p claimant must be unique among all attempts of all instances, including past ones.
-    claim(std::string claimant, std::string body);
+    claim(std::string claimant, std::string bodyDigest);
 
     /// Returns what to do next.
     claim_step step() const { return m_step; }
@@ -77,22 +77,23 @@
     /// Handles the outcome of the creation: the object's new version or an error of the platform.
     void onCreated(const result<std::uint64_t> &outcome);
     /// Returns the version that the object must have for the creation; 0 if it must not exist.
-    std::uint64_t expected() const { return m_expected; }
+    std::uint64_t expectedVersion() const { return m_expectedVersion; }
     /// Handles the outcome of the read: the object's text and @p version, or an error of the
     /// platform.
     void onRead(const result<std::string> &outcome, std::uint64_t version);
     /// Returns the object text that releases the claim. Precondition: the request certainly did not
     /// run.
     std::string releasedText() const;
-    /// Returns the recorded answer. Precondition: step() is Replay.
-    const claim_record &recorded() const { return m_recorded; }
+    /// Returns the record that was read, which holds the recorded answer. Precondition: step() is
+    /// Replay.
+    const claim_record &storedRecord() const { return m_storedRecord; }
 
 private:
     claim_record m_ownRecord;
-    claim_record m_recorded;
+    claim_record m_storedRecord;
     claim_step m_step = claim_step::Create;
     int m_reads = 0;
-    std::uint64_t m_expected = 0;
+    std::uint64_t m_expectedVersion = 0;
 };
 
 } // namespace trefoil
--- a/libs/delivery/include/delivery/retry_budget.h
+++ b/libs/delivery/include/delivery/retry_budget.h
@@ -11,7 +11,7 @@
     static constexpr double retriesPerRequest = 0.1;
 
     /// Counts a request, which adds retriesPerRequest to the budget.
-    void noteRequest();
+    void recordRequest();
     /// Takes one retry from the budget. Returns false if the budget is exhausted.
     bool takeRetry();
 
--- a/libs/delivery/include/delivery/windowed_retry_budget.h
+++ b/libs/delivery/include/delivery/windowed_retry_budget.h
@@ -32,7 +32,7 @@
     void setExtraRetries(double extraRetries) { m_options.extraRetries = extraRetries; }
 
     /// Counts a request.
-    void noteRequest(timestamp now);
+    void recordRequest(timestamp now);
     /// Takes one retry from the budget. Returns false if the limit is reached.
     bool takeRetry(timestamp now);
 
--- a/libs/delivery/src/claim.cpp
+++ b/libs/delivery/src/claim.cpp
@@ -52,10 +52,10 @@
     return "claims/" + std::string(team) + "/" + toHex(digestOf(key, digestOf(team)));
 }
 
-claim::claim(std::string claimant, std::string body)
+claim::claim(std::string claimant, std::string bodyDigest)
 {
     m_ownRecord.claimant = std::move(claimant);
-    m_ownRecord.body = std::move(body);
+    m_ownRecord.body = std::move(bodyDigest);
 }
 
 std::string claim::text() const { return toText(m_ownRecord); }
@@ -93,7 +93,7 @@
     if (found->claimant == m_ownRecord.claimant) {
         m_step = claim_step::Send; // the creation succeeded, but its answer was lost
     } else if (found->released) {
-        m_expected = version;
+        m_expectedVersion = version;
         m_step = claim_step::Create;
     } else if (found->body != m_ownRecord.body) {
         m_step = claim_step::RefuseMismatch;
@@ -102,7 +102,7 @@
     } else {
         m_step = claim_step::RefuseUnknown;
     }
-    m_recorded = *found;
+    m_storedRecord = *found;
 }
 
 } // namespace trefoil
--- a/libs/delivery/src/retry_budget.cpp
+++ b/libs/delivery/src/retry_budget.cpp
@@ -11,7 +11,7 @@
 
 } // namespace
 
-void retry_budget::noteRequest()
+void retry_budget::recordRequest()
 {
     m_availableRetries = std::min(maxSavedRetries, m_availableRetries + retriesPerRequest);
 }
--- a/libs/delivery/src/windowed_retry_budget.cpp
+++ b/libs/delivery/src/windowed_retry_budget.cpp
@@ -10,7 +10,7 @@
         m_retries.pop_front();
 }
 
-void windowed_retry_budget::noteRequest(timestamp now)
+void windowed_retry_budget::recordRequest(timestamp now)
 {
     prune(now);
     m_requests.push_back(now);
--- a/libs/delivery/tests/claim_test.cpp
+++ b/libs/delivery/tests/claim_test.cpp
@@ -36,7 +36,7 @@
     secondClaim.onCreated(failure("conflict", ""));
     secondClaim.onRead(toText(otherRecord), 2);
     ASSERT_EQ(secondClaim.step(), claim_step::Replay);
-    EXPECT_EQ(secondClaim.recorded(), otherRecord);
+    EXPECT_EQ(secondClaim.storedRecord(), otherRecord);
 }
 
 TEST(Claim, RefusesKeyReusedForAnotherRequest)
@@ -69,7 +69,7 @@
     ownClaim.onCreated(failure("conflict", ""));
     ownClaim.onRead(otherClaim.releasedText(), 7);
     EXPECT_EQ(ownClaim.step(), claim_step::Create);
-    EXPECT_EQ(ownClaim.expected(), 7u);
+    EXPECT_EQ(ownClaim.expectedVersion(), 7u);
     ownClaim.onCreated(failure("conflict", "")); // another retry updated it first
     ownClaim.onRead(toText({.claimant = "c/3", .body = "body"}), 8);
     EXPECT_EQ(ownClaim.step(), claim_step::RefuseUnknown);
--- a/libs/delivery/tests/retry_budget_test.cpp
+++ b/libs/delivery/tests/retry_budget_test.cpp
@@ -9,7 +9,7 @@
     retry_budget budget;
     int retries = 0;
     for (int i = 0; i < 10000; ++i) {
-        budget.noteRequest();
+        budget.recordRequest();
         retries += budget.takeRetry() ? 1 : 0; // every request fails
     }
     EXPECT_GE(retries, 1000);
--- a/libs/delivery/tests/windowed_retry_budget_test.cpp
+++ b/libs/delivery/tests/windowed_retry_budget_test.cpp
@@ -16,7 +16,7 @@
     for (int i = 0; i < 4000; ++i) {
         const timestamp now = timestamp {} + std::chrono::milliseconds(10) * i;
         requests.push_back(now);
-        budget.noteRequest(now);
+        budget.recordRequest(now);
         // Three times, the pool rejects every request for a second.
         const bool isRejecting = i % 1300 > 1200;
         while (isRejecting && budget.takeRetry(now))
@@ -39,7 +39,7 @@
     windowed_retry_budget budget({.retriesPerRequest = 0.2, .extraRetries = 0});
     timestamp now {};
     for (int i = 0; i < 100; ++i)
-        budget.noteRequest(now);
+        budget.recordRequest(now);
     int taken = 0;
     while (budget.takeRetry(now))
         ++taken;
--- a/trefoilrouter/src/edge/request_runner.cpp
+++ b/trefoilrouter/src/edge/request_runner.cpp
@@ -122,7 +122,7 @@
     m_bodyDigest = digestOf(m_request.body, digestOf(m_request.head.target, digestOf(team)));
     const bool isCrashSuspect = m_state.with([&](routing_state &routing) {
         routing.retryBudgets.try_emplace(m_service, routing.retryBudgetOptions)
-            .first->second.noteRequest(now);
+            .first->second.recordRequest(now);
         return routing.crashes.isRefused(now, m_bodyDigest);
     });
     if (isCrashSuspect)
