--- a/standins/src/main.cpp
+++ b/standins/src/main.cpp
@@ -7,7 +7,7 @@
 #include "standin_server.h"
 
 ABSL_FLAG(std::string, address, "", "platform, engine, service: address:port to listen on");
-ABSL_FLAG(std::string, name, "", "name");
+ABSL_FLAG(std::string, name, "", "name of the stand-in; has no effect");
 ABSL_FLAG(std::string, instances, "",
           "platform: names of the listed instances, separated by commas");
 ABSL_FLAG(std::string, version, "v1", "engine: version of the loaded weights");
--- a/standins/src/standin_engine.cpp
+++ b/standins/src/standin_engine.cpp
@@ -123,7 +123,8 @@
     }
 
 private:
-    struct generation
+    /// A completion to generate.
+    struct generation_job
     {
         std::string attemptId;
         bool isStream = false;
@@ -242,31 +243,32 @@
             sendJson(response, 400, "{\"error\":{\"message\":\"bad request\"}}");
             return;
         }
-        const generation work = prepare(request, *chat);
+        const generation_job job = runPrefill(request, *chat);
         m_runningCount.fetch_add(1);
-        response.set("X-Cached-Tokens", std::to_string(work.cachedBlocks * 4000));
-        if (work.isStream)
-            sendStream(work, faultMode, response);
+        response.set("X-Cached-Tokens", std::to_string(job.cachedBlocks * 4000));
+        if (job.isStream)
+            sendStream(job, faultMode, response);
         else
-            sendCompletion(work, faultMode, response);
+            sendCompletion(job, faultMode, response);
         m_runningCount.fetch_sub(1);
     }
 
-    generation prepare(Poco::Net::HTTPServerRequest &request, const chat_request &chat)
+    /// Parses the request and sleeps for the prefill time of its uncached prompt tokens.
+    generation_job runPrefill(Poco::Net::HTTPServerRequest &request, const chat_request &chat)
     {
-        generation work;
-        work.attemptId = request.get("X-Attempt", "");
-        work.isStream = chat.stream;
+        generation_job job;
+        job.attemptId = request.get("X-Attempt", "");
+        job.isStream = chat.stream;
         constexpr std::int64_t defaultMaxTokens = 24;
-        work.tokenCount = static_cast<int>(
+        job.tokenCount = static_cast<int>(
             std::min<std::int64_t>(chat.maxTokens > 0 ? chat.maxTokens : defaultMaxTokens, 4096));
-        work.firstToken = std::atoi(request.get("X-Resume-From", "0").c_str());
+        job.firstToken = std::atoi(request.get("X-Resume-From", "0").c_str());
         std::size_t bytes = 0;
         for (const std::string_view piece : chat.prompt) {
             bytes += piece.size();
-            work.seed = hash64(piece, work.seed);
+            job.seed = hash64(piece, job.seed);
         }
-        work.promptTokens = bytes / 4;
+        job.promptTokens = bytes / 4;
         std::vector<std::string> blocks;
         std::istringstream blockList(request.get("X-Prefix-Blocks", ""));
         std::string block;
@@ -276,39 +278,39 @@
         {
             const std::lock_guard<std::mutex> lock(m_mutex);
             m_authorizations.insert(request.get("Authorization", ""));
-            work.cachedBlocks = m_cache.use(blocks);
+            job.cachedBlocks = m_cache.use(blocks);
         }
         uncachedTokens =
-            static_cast<double>(work.promptTokens) - static_cast<double>(work.cachedBlocks) * 4000;
+            static_cast<double>(job.promptTokens) - static_cast<double>(job.cachedBlocks) * 4000;
         uncachedTokens = std::max(0.0, uncachedTokens);
         m_queuedTokens.store(m_queuedTokens.load() + uncachedTokens);
         std::this_thread::sleep_for(fromSeconds(uncachedTokens / m_options.prefillRate));
         m_queuedTokens.store(std::max(0.0, m_queuedTokens.load() - uncachedTokens));
-        return work;
+        return job;
     }
 
-    static std::string tokenText(const generation &work, int index)
+    static std::string tokenText(const generation_job &job, int index)
     {
-        return "t" + std::to_string(hash64(std::to_string(index), work.seed) % 1000) + " ";
+        return "t" + std::to_string(hash64(std::to_string(index), job.seed) % 1000) + " ";
     }
 
-    static std::string usage(const generation &work)
+    static std::string formatUsage(const generation_job &job)
     {
         Json::Value usage(Json::objectValue);
-        usage["prompt_tokens"] = Json::UInt64(work.promptTokens);
-        usage["completion_tokens"] = work.tokenCount;
-        usage["prompt_tokens_details"]["cached_tokens"] = Json::UInt64(work.cachedBlocks * 4000);
+        usage["prompt_tokens"] = Json::UInt64(job.promptTokens);
+        usage["completion_tokens"] = job.tokenCount;
+        usage["prompt_tokens_details"]["cached_tokens"] = Json::UInt64(job.cachedBlocks * 4000);
         return writeJson(usage);
     }
 
-    void sendCompletion(const generation &work, const std::string &faultMode,
+    void sendCompletion(const generation_job &job, const std::string &faultMode,
                         Poco::Net::HTTPServerResponse &response)
     {
         std::string text;
-        for (int i = 0; i < work.tokenCount; ++i)
-            text += tokenText(work, i);
+        for (int i = 0; i < job.tokenCount; ++i)
+            text += tokenText(job, i);
         std::this_thread::sleep_for(std::chrono::milliseconds(m_options.tokenIntervalMs)
-                                    * work.tokenCount);
+                                    * job.tokenCount);
         if (faultMode == "empty") {
             sendJson(response, 200, "{\"choices\":[]}");
             return;
@@ -316,7 +318,7 @@
         const std::string body =
             "{\"object\":\"chat.completion\",\"choices\":[{\"index\":0,\"message\":{\"role\":"
             "\"assistant\",\"content\":\""
-            + text + "\"},\"finish_reason\":\"stop\"}],\"usage\":" + usage(work) + "}";
+            + text + "\"},\"finish_reason\":\"stop\"}],\"usage\":" + formatUsage(job) + "}";
         if (faultMode == "cut") {
             response.setContentType("application/json");
             response.setContentLength(static_cast<std::streamsize>(body.size()));
@@ -333,25 +335,25 @@
         return m_cancelledAttempts.contains(attemptId);
     }
 
-    void sendStream(const generation &work, const std::string &faultMode,
+    void sendStream(const generation_job &job, const std::string &faultMode,
                     Poco::Net::HTTPServerResponse &response)
     {
         response.setContentType("text/event-stream");
         response.setChunkedTransferEncoding(true);
         std::ostream &out = response.send();
-        for (int i = work.firstToken; i < work.tokenCount && faultMode != "empty"; ++i) {
-            if (isCancelled(work.attemptId))
+        for (int i = job.firstToken; i < job.tokenCount && faultMode != "empty"; ++i) {
+            if (isCancelled(job.attemptId))
                 return;
-            if (faultMode == "cut" && i - work.firstToken == work.tokenCount / 2) {
+            if (faultMode == "cut" && i - job.firstToken == job.tokenCount / 2) {
                 response.setKeepAlive(false);
                 return;
             }
-            if (faultMode == "die" && i - work.firstToken == work.tokenCount / 2)
+            if (faultMode == "die" && i - job.firstToken == job.tokenCount / 2)
                 std::_Exit(1);
             const std::string event = "id: " + std::to_string(i)
                 + "\ndata: {\"object\":\"chat.completion.chunk\",\"choices\":[{\"index\":0,"
                   "\"delta\":{\"content\":\""
-                + tokenText(work, i) + "\"}}]}\n\n";
+                + tokenText(job, i) + "\"}}]}\n\n";
             out << event << std::flush;
             if (faultMode == "twice")
                 out << event << std::flush;
@@ -370,7 +372,7 @@
     std::uint64_t m_epoch = 0;
     std::string m_faultMode;
     int m_faultCount = 0;
-    std::string m_faultVersion;
+    std::string m_faultVersion; // the only weights version that the fault applies to; empty for any
     std::set<std::string> m_cancelledAttempts;
     std::set<std::string> m_authorizations;
     std::atomic<int> m_runningCount = 0;
--- a/standins/src/standin_platform.cpp
+++ b/standins/src/standin_platform.cpp
@@ -16,7 +16,8 @@
 
 namespace {
 
-constexpr int watchThreads = 256;
+/// A watch occupies a thread while it waits.
+constexpr int platformThreads = 256;
 
 /// Stand-in for the platform: serves its object API from an object_table. Faults are injected
 /// through /admin.
@@ -111,12 +112,12 @@
                   Poco::Net::HTTPServerResponse &response)
     {
         const std::string value = readRequestBody(request);
-        const std::uint64_t expected =
+        const std::uint64_t expectedVersion =
             std::strtoull(queryParameter(request, "expected").c_str(), nullptr, 10);
         result<std::uint64_t> written = failure("", "");
         {
             const std::lock_guard<std::mutex> lock(m_mutex);
-            written = m_table.put(name, value, expected);
+            written = m_table.put(name, value, expectedVersion);
         }
         m_changed.notify_all();
         if (written && m_responsesToDrop > 0) {
@@ -174,7 +175,7 @@
 {
     standin_platform platform(options.instances);
     return runHttpServer(
-        options.address, watchThreads,
+        options.address, platformThreads,
         [&](Poco::Net::HTTPServerRequest &request, Poco::Net::HTTPServerResponse &response) {
             platform.serve(request, response);
         });
--- a/standins/src/standin_server.h
+++ b/standins/src/standin_server.h
@@ -29,7 +29,9 @@
 /// Command line options; each stand-in uses its own.
 struct standin_options
 {
+    /// platform, engine, service: address to listen on.
     endpoint address;
+    /// Not used by any stand-in.
     std::string name;
     /// platform: names of the listed instances, separated by commas.
     std::string instances;
@@ -52,6 +54,8 @@
     std::string label;
 };
 
+/// Each runs one stand-in until the process exits. runLoad() returns the exit status instead, which
+/// is 1 if any request failed.
 int runPlatform(const standin_options &options);
 int runEngine(const standin_options &options);
 int runService(const standin_options &options);
