--- a/libs/routing/include/routing/placement.h
+++ b/libs/routing/include/routing/placement.h
@@ -87,8 +87,8 @@
 ///     placement pool({ .randomSeed = 1 });
 ///     pool.setServers(servers);
 ///     std::optional<placement_choice> choice = pool.choose(now, { .chain = &chain });
-///     pool.noteSent(now, choice->server, chain, choice->estimatedCachedBlocks);
-///     pool.noteFirstToken(now, choice->server, ...);  // or recordAborted()
+///     pool.recordSent(now, choice->server, chain, choice->estimatedCachedBlocks);
+///     pool.recordFirstToken(now, choice->server, ...);  // or recordAborted()
 class placement
 {
 public:
