--- a/trefoilrouter/src/edge/peer_exchange.cpp
+++ b/trefoilrouter/src/edge/peer_exchange.cpp
@@ -248,7 +248,7 @@
 void peer_exchange::applyOutcomes(timestamp now, const peer_report &report, routing_state &routing)
 {
     for (const crash_record &crash : report.crashes)
-        routing.crashes.note(now, crash.request, crash.event);
+        routing.crashes.recordCrash(now, crash.request, crash.event);
     for (const release_outcomes &each : report.releases) {
         outcome_counts &reported =
             m_reportedOutcomes[report.from + "/" + std::to_string(report.incarnation) + "/"
--- a/trefoilrouter/src/edge/request_runner.cpp
+++ b/trefoilrouter/src/edge/request_runner.cpp
@@ -122,7 +122,7 @@
     m_bodyDigest = digestOf(m_request.body, digestOf(m_request.head.target, digestOf(team)));
     const bool isCrashSuspect = m_state.with([&](routing_state &routing) {
         routing.retryBudgets.try_emplace(m_service, routing.retryBudgetOptions)
-            .first->second.noteRequest(now);
+            .first->second.recordRequest(now);
         return routing.crashes.isRefused(now, m_bodyDigest);
     });
     if (isCrashSuspect)
@@ -671,7 +671,7 @@
     const timestamp now = boot_clock::now();
     const crash_record crash {.request = m_bodyDigest, .event = current.placed.server};
     m_state.with([&](routing_state &routing) {
-        routing.crashes.note(now, crash.request, crash.event);
+        routing.crashes.recordCrash(now, crash.request, crash.event);
         std::erase_if(routing.localCrashes,
                       [now](const auto &each) { return now - each.first > crashReportTime; });
         routing.localCrashes.emplace_back(now, crash);
