--- a/libs/limits/benchmarks/bench_limits.cpp
+++ b/libs/limits/benchmarks/bench_limits.cpp
@@ -2,11 +2,11 @@
 
 #include <array>
 
-#include <core/report.h>
+#include <core/text_table.h>
 
 using namespace trefoil;
 
-/// Compares the strategies to enforce limits in simulations with a fixed seed.
+/// Compares the strategies for enforcing limits in simulations with a fixed seed.
 int main(int argc, char **argv)
 {
     struct named_strategy
@@ -18,12 +18,12 @@
         {{limit_strategy::StaticSplit, "equal static split"},
          {limit_strategy::PlatformLease, "platform lease alone"},
          {limit_strategy::Confirmations, "owner, grants, confirmations"}}};
-    std::vector<report_table> tables;
+    std::vector<text_table> tables;
     for (const limit_scenario &scenario : limitScenarios()) {
-        report_table table(scenario.name,
-                           {"strategy", "overshoot tokens", "refused within rate %",
-                            "worst-served team %", "messages/instance/s", "platform calls/s",
-                            "requests"});
+        text_table table(scenario.name,
+                         {"strategy", "overshoot tokens", "refused within rate %",
+                          "worst-served team %", "messages/instance/s", "platform calls/s",
+                          "requests"});
         for (const named_strategy &each : strategies) {
             const simulation_result outcome = limiter_simulation(each.strategy, scenario, 1).run();
             table.add({each.name, formatNumber(outcome.overshoot, 0),
@@ -35,5 +35,5 @@
         }
         tables.push_back(table);
     }
-    return report(tables, argc, argv);
+    return writeTables(tables, argc, argv);
 }
--- a/trefoilrouter/src/edge/caller_session.cpp
+++ b/trefoilrouter/src/edge/caller_session.cpp
@@ -90,7 +90,7 @@
         m_state.noteRequest();
         m_state.openRequests() += 1;
         const bool closesConnection =
-            m_state.isLeaving() || !keepsConnection(request->head.headers, request->head.isHttp10);
+            m_state.isLeaving() || !isKeepAlive(request->head.headers, request->head.isHttp10);
         const bool keepsOpen =
             request_runner(m_state, m_connections, m_caller, *request, closesConnection).run();
         m_state.openRequests() -= 1;
@@ -224,7 +224,7 @@
 child_body callerListener(edge_state &state, server_connection_pool &connections,
                           const endpoint &address)
 {
-    return listenerChild(address, [&state, &connections, address](const std::stop_token &stop) {
+    return makeListenerChild(address, [&state, &connections, address](const std::stop_token &stop) {
         Poco::Net::TCPServerParams::Ptr params = new Poco::Net::TCPServerParams;
         params->setMaxThreads(maxConnections);
         params->setMaxQueued(backlog);
--- a/trefoilrouter/src/edge/edge_instance.cpp
+++ b/trefoilrouter/src/edge/edge_instance.cpp
@@ -9,7 +9,7 @@
 #include "edge/caller_session.h"
 #include "edge/edge_handlers.h"
 #include "http_util.h"
-#include "verb_files.h"
+#include "table_files.h"
 
 namespace trefoil {
 
@@ -64,29 +64,29 @@
     all.push_back({.name = "maintenance",
                    .body = [this](const std::stop_token &stop) { return runMaintenance(stop); }});
     all.push_back(m_exchange.child());
-    for (child_spec &worker : m_orderQueue.workers("orders", orderThreads))
+    for (child_spec &worker : m_orderQueue.makeWorkers("orders", orderThreads))
         all.push_back(std::move(worker));
-    for (child_spec &worker : m_probeQueue.workers("probes", probeThreads))
+    for (child_spec &worker : m_probeQueue.makeWorkers("probes", probeThreads))
         all.push_back(std::move(worker));
     for (child_spec &each : m_leader.children(m_exchange))
         all.push_back(std::move(each));
     all.push_back({.name = "peer-listener",
-                   .body = httpListener({.place = m_settings.peers,
-                                         .threads = peerThreads,
-                                         .keepsConnections = false,
-                                         .factory = peerFactory(m_state, m_watch)})});
+                   .body = makeHttpListener({.address = m_settings.peers,
+                                             .threads = peerThreads,
+                                             .keepAlive = false,
+                                             .factory = peerFactory(m_state, m_watch)})});
     all.push_back(
         {.name = "callers", .body = callerListener(m_state, m_connections, m_settings.callers)});
     all.push_back({.name = "entry",
-                   .body = httpListener({.place = m_settings.discovery,
-                                         .threads = discoveryThreads,
-                                         .keepsConnections = false,
-                                         .factory = discoveryFactory(m_state)})});
+                   .body = makeHttpListener({.address = m_settings.discovery,
+                                             .threads = discoveryThreads,
+                                             .keepAlive = false,
+                                             .factory = discoveryFactory(m_state)})});
     all.push_back({.name = "readiness",
-                   .body = httpListener({.place = m_settings.readiness,
-                                         .threads = peerThreads,
-                                         .keepsConnections = false,
-                                         .factory = discoveryFactory(m_state)})});
+                   .body = makeHttpListener({.address = m_settings.readiness,
+                                             .threads = peerThreads,
+                                             .keepAlive = false,
+                                             .factory = discoveryFactory(m_state)})});
     return all;
 }
 
@@ -232,8 +232,8 @@
 
 void edge_instance::probeServers(timestamp now)
 {
-    const std::vector<registered_server> due =
-        m_state.with([now](routing_state &routing) { return routing.board.serversToProbe(now); });
+    const std::vector<registered_server> due = m_state.with(
+        [now](routing_state &routing) { return routing.balancer.serversToProbe(now); });
     for (const registered_server &server : due)
         m_probeQueue.post([this, server] { probe(server); });
 }
@@ -242,7 +242,7 @@
 {
     result<byte_stream> stream = byte_stream::connect(server.address, probeTimeout);
     m_state.with([&](routing_state &routing) {
-        routing.board.onProbeResult(server.id, stream.has_value());
+        routing.balancer.onProbeResult(server.id, stream.has_value());
     });
     writeEvent(event_line("servers", "server_probed")
                    .add("server", server.id)
--- a/trefoilrouter/src/edge/server_connection_pool.cpp
+++ b/trefoilrouter/src/edge/server_connection_pool.cpp
@@ -30,7 +30,7 @@
         }
         if (!found)
             break;
-        if (now < found->expiresAt && now - found->idleSince <= maxIdle && found->stream.isQuiet())
+        if (now < found->expiresAt && now - found->idleSince <= maxIdle && found->stream.isIdle())
             return pooled_connection {.stream = std::move(found->stream), .isReused = true};
     }
     result<byte_stream> opened = byte_stream::connect(address, connectTimeout);
--- a/trefoilrouter/src/edge/store_watch.cpp
+++ b/trefoilrouter/src/edge/store_watch.cpp
@@ -45,8 +45,8 @@
 /// Time that a copy may be behind before it is fetched from another instance; normally the store's
 /// watch delivers changes sooner.
 constexpr duration maxTimeBehind = std::chrono::milliseconds(350);
-/// Assumed age of weights found at startup, which may have been named long ago: half of the time
-/// within which they must be in use everywhere. Reports of other instances correct it.
+/// Assumed age of target weights found at startup, which may have been set long ago: about half of
+/// the time within which all servers must run them. Reports of other instances correct it.
 constexpr duration assumedWeightsAge = std::chrono::seconds(5);
 constexpr duration fetchTimeout = std::chrono::milliseconds(400);
 
@@ -96,14 +96,14 @@
     {
         const std::lock_guard<std::mutex> lock(m_mutex);
         const watched_kind &watched = m_kinds.find(kind)->second;
-        from = watched.mirror.upTo();
+        from = watched.mirror.upToVersion();
         waitTime = watched.waitTime;
         freshReaders = watched.freshReaders;
     }
     // In a large fleet only a few instances read the newest state: reports tell the others when
     // they are behind.
     const bool isFresh = fleet.rank < freshReaders;
-    const read_freshness freshness = isFresh ? read_freshness::Newest : read_freshness::MayBeOld;
+    const read_freshness freshness = isFresh ? read_freshness::Newest : read_freshness::MayBeStale;
     waitTime = isFresh ? waitTime : waitTime * staleWatchTimeFactor;
     const result<object_changes> answer =
         needsSnapshot ? m_store.snapshot(kind) : m_store.watch(kind, from, waitTime, freshness);
@@ -129,8 +129,8 @@
         object_mirror &mirror = watched.mirror;
         const timestamp lapseEnd = outageEnd + watched.reregistrationTime;
         hasChanged = needsSnapshot
-            ? mirror.takeSnapshot(now, answer->changed, answer->upTo, lapseEnd)
-            : mirror.takeChanges(now, answer->changed, answer->upTo, lapseEnd);
+            ? mirror.applySnapshot(now, answer->changed, answer->upToVersion, lapseEnd)
+            : mirror.applyChanges(now, answer->changed, answer->upToVersion, lapseEnd);
         hasChanged = mirror.dropLapsed(now) || hasChanged;
     }
     const bool hadChanges = !needsSnapshot && !answer->changed.empty();
@@ -236,7 +236,7 @@
         }
     }
     for (const std::pair<std::string, endpoint> &each : stale) {
-        const result<http_answer> answer = httpCallOnce(
+        const result<http_response> answer = sendHttpRequestOnNewConnection(
             each.second, {.path = "/copy?kind=" + encodeUri(each.first)}, fetchTimeout);
         if (answer && answer->status == HTTPResponse::HTTP_OK)
             applyFetchedCopy(each.first, answer->body);
@@ -252,7 +252,7 @@
 {
     const std::lock_guard<std::mutex> lock(m_mutex);
     const watched_kind &watched = m_kinds.find(store_kinds::instances)->second;
-    return watched.isReachable && watched.mirror.upTo() > 0
+    return watched.isReachable && watched.mirror.upToVersion() > 0
         && !watched.mirror.objects().contains(store_kinds::instances + name);
 }
 
@@ -263,7 +263,7 @@
     const auto watched = m_kinds.find(kind);
     if (watched == m_kinds.end())
         return writeJson(copy);
-    copy["up_to"] = Json::UInt64(watched->second.mirror.upTo());
+    copy["up_to"] = Json::UInt64(watched->second.mirror.upToVersion());
     copy["newest_change"] = Json::UInt64(watched->second.mirror.newestChange());
     Json::Value list(Json::arrayValue);
     const std::map<std::string, object, std::less<>> &objects = watched->second.mirror.objects();
@@ -298,8 +298,8 @@
     {
         const std::lock_guard<std::mutex> lock(m_mutex);
         object_mirror &mirror = m_kinds.find(kind)->second.mirror;
-        hasChanged = mirror.takeSnapshot(boot_clock::now(), objects, integerOr(*copy, "up_to"));
-        mirror.noteNewestChange(integerOr(*copy, "newest_change"));
+        hasChanged = mirror.applySnapshot(boot_clock::now(), objects, integerOr(*copy, "up_to"));
+        mirror.recordNewestChange(integerOr(*copy, "newest_change"));
     }
     writeEvent(event_line("store", "copy_fetched").add("kind", kind).add("changed", hasChanged));
     if (hasChanged)
@@ -346,7 +346,7 @@
         return;
     const timestamp now = boot_clock::now();
     m_state.with([&tables, now](routing_state &routing) {
-        routing.board.setTables(*tables);
+        routing.balancer.setTables(*tables);
         for (auto it = tables->teams.begin(); it != tables->teams.end(); ++it) {
             if (it->second.rate > 0)
                 routing.limits.setLimit(now, it->first, it->second.rate, it->second.burst);
@@ -396,7 +396,7 @@
             writeEvent(event_line("servers", "server_gone").add("server", it->first));
     }
     m_serverConditions = std::move(conditions);
-    m_state.with([&servers](routing_state &routing) { routing.board.setServers(servers); });
+    m_state.with([&servers](routing_state &routing) { routing.balancer.setServers(servers); });
 }
 
 void store_watch::applyWeights(const std::map<std::string, object, std::less<>> &objects)
@@ -405,7 +405,7 @@
     const timestamp since = m_hasAppliedWeights ? now : now - assumedWeightsAge;
     m_hasAppliedWeights = true;
     for (auto it = objects.begin(); it != objects.end(); ++it) {
-        const result<named_weights> weights = decodeNamedWeights(it->second.value);
+        const result<target_weights> weights = decodeTargetWeights(it->second.value);
         if (!weights) {
             writeEvent(event_line("weights", "entry_dropped")
                            .add("entry", it->first)
@@ -413,7 +413,7 @@
             continue;
         }
         m_state.with([&weights, since](routing_state &routing) {
-            routing.board.addAnnouncedWeights(weights->model, weights->version, since);
+            routing.balancer.addTargetWeights(weights->model, weights->version, since);
         });
         writeEvent(event_line("weights", "named")
                        .add("model", weights->model)
@@ -439,7 +439,7 @@
         writeEvent(event_line("rollout", "requested")
                        .add("service", request->service)
                        .add("release", request->release)
-                       .add("seconds", toSeconds(request->time))
+                       .add("seconds", toSeconds(request->rampTime))
                        .add("revision", it->second.version));
     }
 }
--- a/trefoilrouter/src/span_exporter.cpp
+++ b/trefoilrouter/src/span_exporter.cpp
@@ -10,8 +10,7 @@
 
 namespace {
 
-/// Spans in one write at most.
-constexpr std::size_t maxBatch = 256;
+constexpr std::size_t maxSpansPerBatch = 256;
 constexpr duration batchPeriod = std::chrono::milliseconds(200);
 constexpr duration collectorTimeout = std::chrono::seconds(2);
 
@@ -34,14 +33,14 @@
 
 result<void> span_exporter::run(const std::stop_token &stop)
 {
-    bool more = true;
-    while (more || !stop.stop_requested()) {
+    bool hasMore = true;
+    while (hasMore || !stop.stop_requested()) {
         std::vector<span> batch;
         std::optional<span> next = m_spans.take(batchPeriod);
-        more = next.has_value();
+        hasMore = next.has_value();
         while (next) {
             batch.push_back(std::move(*next));
-            if (batch.size() >= maxBatch)
+            if (batch.size() >= maxSpansPerBatch)
                 break;
             next = m_spans.take(duration::zero());
         }
@@ -58,14 +57,14 @@
         std::ofstream file(m_file, std::ios::app);
         file << text << "\n";
         if (!file.flush())
-            logWarning("traces", "can't write to \"" + m_file + "\".");
+            logWarning("traces", "Can't write to \"" + m_file + "\".");
     }
-    endpoint place;
-    if (!m_collector.empty() && parseEndpoint(m_collector, place)) {
-        const result<http_answer> answer = httpCallOnce(
-            place, {.method = "POST", .path = "/v1/traces", .body = text}, collectorTimeout);
-        if (!answer)
-            logWarning("traces", "the collector did not take spans: " + answer.error().message);
+    endpoint address;
+    if (!m_collector.empty() && parseEndpoint(m_collector, address)) {
+        const result<http_response> response = sendHttpRequestOnNewConnection(
+            address, {.method = "POST", .path = "/v1/traces", .body = text}, collectorTimeout);
+        if (!response)
+            logWarning("traces", "The collector did not accept spans: " + response.error().message);
     }
 }
 
