--- a/libs/configuration/include/configuration/settings.h
+++ b/libs/configuration/include/configuration/settings.h
@@ -33,9 +33,11 @@
     std::string name;
     std::string zone;
     std::string region;
+    /// Addresses that the instance listens on for callers, other instances and operators.
     endpoint callers;
     endpoint peers;
     endpoint operators;
+    /// Address of the platform's object API.
     endpoint platform;
     /// Limit on this instance's calls to the platform, in calls per second.
     int platformCallsPerSecond = 20;
--- a/libs/http/include/http/byte_stream.h
+++ b/libs/http/include/http/byte_stream.h
@@ -14,7 +14,7 @@
 enum class read_outcome {
     /// New bytes were appended to the buffer.
     Bytes,
-    /// The remote side ended its stream in order.
+    /// The remote side closed its sending side without a reset.
     End,
     /// The connection was reset or failed.
     Broken,
@@ -57,13 +57,14 @@
     /// Resets the connection, so that the remote side can't mistake a partial message for a
     /// complete one.
     void abort();
-    /// Shuts down the sending side in order.
+    /// Shuts down the sending side; the remote side reads the end of the stream.
     void close();
 
     /// Returns the bytes received and not yet consumed; the caller erases what it consumes.
     std::string &buffer() { return m_buffer; }
 
 private:
+    /// Reads without waiting. Returns TimedOut if there is nothing to read.
     read_outcome receive();
 
     Poco::Net::StreamSocket m_socket;
--- a/libs/http/include/http/event_cutter.h
+++ b/libs/http/include/http/sse_framer.h
@@ -8,7 +8,7 @@
 /// Splits a byte stream of server-sent events after complete events, so that a stream that breaks
 /// inside an event can be resumed from another server after the last complete one. The events'
 /// bytes stay unchanged. Not thread-safe.
-class event_cutter
+class sse_framer
 {
 public:
     /// Appends @p bytes and returns all events that are complete now, concatenated.
--- a/libs/http/src/event_cutter.cpp
+++ b/libs/http/src/sse_framer.cpp
@@ -1,4 +1,4 @@
-#include <http/event_cutter.h>
+#include <http/sse_framer.h>
 
 #include <algorithm>
 #include <utility>
@@ -22,7 +22,7 @@
 
 } // namespace
 
-std::string event_cutter::feed(std::string_view bytes)
+std::string sse_framer::feed(std::string_view bytes)
 {
     m_incomplete.append(bytes);
     const std::size_t end = endOfLastCompleteEvent(m_incomplete);
@@ -32,9 +32,9 @@
     return events;
 }
 
-std::string event_cutter::takeIncomplete() { return std::exchange(m_incomplete, {}); }
+std::string sse_framer::takeIncomplete() { return std::exchange(m_incomplete, {}); }
 
-void event_cutter::updateLastEventId(std::string_view events)
+void sse_framer::updateLastEventId(std::string_view events)
 {
     constexpr std::string_view fieldName = "id:";
     while (!events.empty()) {
--- a/libs/platform/include/platform/call_budget.h
+++ b/libs/platform/include/platform/call_budget.h
@@ -12,8 +12,8 @@
 class call_budget
 {
 public:
-    /// Allows @p callsPerSecond on average and bursts of up to two seconds' worth. Precondition: it
-    /// is positive.
+    /// Allows @p callsPerSecond on average and bursts of up to two seconds' worth.
+    /// Precondition: @p callsPerSecond is positive.
     explicit call_budget(double callsPerSecond);
 
     /// Takes one call from the budget at @p now. Returns false and counts a refusal when the budget
--- a/libs/platform/include/platform/object_mirror.h
+++ b/libs/platform/include/platform/object_mirror.h
@@ -32,8 +32,8 @@
     /// objects are kept until then. Returns whether anything changed.
     bool applyChanges(timestamp now, std::span<const object> changed, std::uint64_t upToVersion,
                       timestamp graceEnd = {});
-    /// Drops missing objects whose grace period is over. Returns whether there were any.
-    bool dropLapsed(timestamp now);
+    /// Removes missing objects whose grace period is over. Returns whether there were any.
+    bool removeExpired(timestamp now);
 
     /// Returns the objects by name.
     const std::map<std::string, object, std::less<>> &objects() const { return m_objects; }
--- a/libs/platform/include/platform/object_store.h
+++ b/libs/platform/include/platform/object_store.h
@@ -18,13 +18,14 @@
     std::string value;
     /// Reported status of the object if the store keeps it separate from the value; else "".
     std::string status;
-    /// Whether this is a watch's notice that the object was removed.
+    /// Set only in the result of a watch: the object was removed.
     bool isRemoved = false;
 
     bool operator==(const object &) const = default;
 };
 
-/// Result of a watch: the changed objects and the store version from which to watch next.
+/// Result of a watch or a snapshot: the changed or existing objects, and the store version from
+/// which to watch next.
 struct object_changes
 {
     std::vector<object> changed;
@@ -38,7 +39,8 @@
     bool leaving = false;
 };
 
-/// Error codes of the platform. Every call may fail with refused, unavailable or unknown-outcome.
+/// Error codes of the platform. Every call may fail with refused or unavailable, and a write also
+/// with unknown-outcome.
 namespace platform_errors {
 inline constexpr const char *notFound = "not-found";
 /// The object's version is not the expected one, or it exists although it was expected not to.
@@ -74,7 +76,8 @@
                                       std::uint64_t expected) = 0;
     /// Reads all objects under @p prefix and the store version from which to watch.
     virtual result<object_changes> snapshot(const std::string &prefix);
-    /// As watch() without @p freshness, which an implementation may ignore.
+    /// Same as the watch() below. An implementation may ignore @p freshness, as the default one
+    /// does.
     virtual result<object_changes> watch(const std::string &prefix, std::uint64_t from,
                                          duration timeout, read_freshness freshness)
     {
--- a/libs/platform/include/platform/outage_clock.h
+++ b/libs/platform/include/platform/outage_detector.h
@@ -9,11 +9,11 @@
 /// Detects when the store's last outage ended, from the times at which any instance reached it. A
 /// store that only this instance can't reach is not an outage: other writers still reach it, so
 /// their objects don't expire. Not thread-safe.
-class outage_clock
+class outage_detector
 {
 public:
-    /// A longer gap between contacts is an outage. The holder of a duty reaches the store three
-    /// times a second, and the long-polling reads of all instances together about as often.
+    /// A longer gap between contacts is an outage. The leader reaches the store three times
+    /// a second, and the long-polling reads of all instances together about as often.
     static constexpr duration maxContactGap = std::chrono::milliseconds(1800);
 
     /// Records that this or another instance reached the store at @p at.
--- a/libs/platform/src/object_mirror.cpp
+++ b/libs/platform/src/object_mirror.cpp
@@ -67,7 +67,7 @@
     return hasChanged;
 }
 
-bool object_mirror::dropLapsed(timestamp now)
+bool object_mirror::removeExpired(timestamp now)
 {
     bool hasChanged = false;
     for (auto it = m_missing.begin(); it != m_missing.end();) {
--- a/libs/platform/tests/object_mirror_test.cpp
+++ b/libs/platform/tests/object_mirror_test.cpp
@@ -51,7 +51,7 @@
     now += std::chrono::seconds(1);
     EXPECT_TRUE(mirror.applyChanges(now, entries {entry("b", 8)}, 8, graceEnd));
     now += std::chrono::milliseconds(1100);
-    EXPECT_TRUE(mirror.dropLapsed(now));
+    EXPECT_TRUE(mirror.removeExpired(now));
     EXPECT_EQ(mirror.objects().size(), 2u);
     EXPECT_FALSE(mirror.objects().contains("c"));
     // Without an outage a missing object is dropped at once.
@@ -69,7 +69,7 @@
     EXPECT_FALSE(mirror.applyChanges(now, entries {entry("a", 1, true)}, 7, graceEnd));
     EXPECT_EQ(mirror.objects().size(), 1u);
     // The grace period starts at the store's return, not at the removal.
-    EXPECT_TRUE(mirror.dropLapsed(graceEnd));
+    EXPECT_TRUE(mirror.removeExpired(graceEnd));
 }
 
 TEST(ObjectMirror, RemovalAfterTheGracePeriodTakesEffectAtOnce)
--- a/trefoilrouter/src/edge/edge_instance.cpp
+++ b/trefoilrouter/src/edge/edge_instance.cpp
@@ -266,7 +266,7 @@
     while (!stop.stop_requested()) {
         const timestamp now = boot_clock::now();
         m_connections.prune(now);
-        m_watch.dropLapsed(now);
+        m_watch.removeExpired(now);
         m_watch.fetchStaleCopies(now);
         probeServers(now);
         const timestamp sleepStart = boot_clock::now();
--- a/trefoilrouter/src/edge/edge_state.h
+++ b/trefoilrouter/src/edge/edge_state.h
@@ -17,7 +17,7 @@
 #include <dispatch/release_shares.h>
 #include <dispatch/serving_tables.h>
 #include <dispatch/team_limits.h>
-#include <platform/outage_clock.h>
+#include <platform/outage_detector.h>
 #include <routing/crash_tracker.h>
 #include <telemetry/metrics.h>
 
@@ -49,7 +49,7 @@
     /// When the platform's store last answered this instance.
     timestamp storeAnsweredAt;
     /// Store outages, from the answers that any instance got.
-    outage_clock storeOutage;
+    outage_detector storeOutage;
     /// Request outcomes per release under rollout, counted here and reported to the other
     /// instances.
     std::map<std::string, release_outcomes, std::less<>> localOutcomes;
--- a/trefoilrouter/src/edge/request_runner.h
+++ b/trefoilrouter/src/edge/request_runner.h
@@ -9,8 +9,8 @@
 #include <core/digest.h>
 #include <http/byte_stream.h>
 #include <http/chunked.h>
-#include <http/event_cutter.h>
 #include <http/message.h>
+#include <http/sse_framer.h>
 
 #include "edge/edge_state.h"
 #include "edge/server_connection_pool.h"
@@ -140,7 +140,7 @@
     int m_runs = 0;
     bool m_isHeadSent = false;
     bool m_isChunked = false;
-    event_cutter m_events;
+    sse_framer m_events;
     /// Complete answer of a server. An error is forwarded only if no other server answers the
     /// request.
     std::optional<std::pair<response_head, std::string>> m_answer;
--- a/trefoilrouter/src/edge/store_watch.cpp
+++ b/trefoilrouter/src/edge/store_watch.cpp
@@ -127,11 +127,11 @@
         watched_kind &watched = m_kinds.find(kind)->second;
         watched.failures = 0;
         object_mirror &mirror = watched.mirror;
-        const timestamp lapseEnd = outageEnd + watched.reregistrationTime;
+        const timestamp graceEnd = outageEnd + watched.reregistrationTime;
         hasChanged = needsSnapshot
-            ? mirror.applySnapshot(now, answer->changed, answer->upToVersion, lapseEnd)
-            : mirror.applyChanges(now, answer->changed, answer->upToVersion, lapseEnd);
-        hasChanged = mirror.dropLapsed(now) || hasChanged;
+            ? mirror.applySnapshot(now, answer->changed, answer->upToVersion, graceEnd)
+            : mirror.applyChanges(now, answer->changed, answer->upToVersion, graceEnd);
+        hasChanged = mirror.removeExpired(now) || hasChanged;
     }
     const bool hadChanges = !needsSnapshot && !answer->changed.empty();
     needsSnapshot = false;
@@ -207,13 +207,13 @@
     }
 }
 
-void store_watch::dropLapsed(timestamp now)
+void store_watch::removeExpired(timestamp now)
 {
     std::vector<std::string> changed;
     {
         const std::lock_guard<std::mutex> lock(m_mutex);
         for (auto it = m_kinds.begin(); it != m_kinds.end(); ++it) {
-            if (it->second.mirror.dropLapsed(now))
+            if (it->second.mirror.removeExpired(now))
                 changed.push_back(it->first);
         }
     }
--- a/trefoilrouter/src/edge/store_watch.h
+++ b/trefoilrouter/src/edge/store_watch.h
@@ -34,7 +34,7 @@
     /// Fetches the copies that have been behind for too long from other instances. May block.
     void fetchStaleCopies(timestamp now);
     /// Drops objects that lapsed during an outage and were not written again in time.
-    void dropLapsed(timestamp now);
+    void removeExpired(timestamp now);
     /// Returns whether the instance list is known and has no entry @p name.
     bool lacksInstance(const std::string &name);
     /// Returns the copy of @p kind for another instance, as JSON.
