--- a/examples/embedding/main.cpp
+++ b/examples/embedding/main.cpp
@@ -21,11 +21,11 @@
 struct member
 {
     member(const std::string &name, timestamp now)
-        : keeper({.self = name, .zone = name, .keys = shardKeys(1)}, now),
-          limits({.self = name, .shards = 1}, keeper)
+        : leases({.self = name, .zone = name, .keys = shardKeys(1)}, now),
+          limits({.self = name, .shards = 1}, leases)
     { }
 
-    lease_manager keeper;
+    lease_manager leases;
     rate_limiter limits;
 };
 
@@ -40,29 +40,29 @@
     }
     for (std::pair<const std::string, member> &each : fleet) {
         member &self = each.second;
-        self.keeper.setFleet(now, fleetView);
-        for (const lease_action &action : self.keeper.tick(now)) {
+        self.leases.setFleet(now, fleetView);
+        for (const lease_action &action : self.leases.tick(now)) {
             if (const confirm_call *call = std::get_if<confirm_call>(&action)) {
                 const confirm_answer answer =
-                    fleet.at(call->to).keeper.onRequest(now, call->request);
-                self.keeper.onAnswer(now, call->id, answer);
+                    fleet.at(call->to).leases.onRequest(now, call->request);
+                self.leases.onAnswer(now, call->id, answer);
             } else if (const record_write *write = std::get_if<record_write>(&action)) {
                 versioned_record &item = store[write->key];
                 const bool matches = item.version == write->expected;
                 if (matches)
                     item = {.version = item.version + 1, .record = write->record};
-                self.keeper.onWritten(now, write->key,
+                self.leases.onWritten(now, write->key,
                                       matches ? write_outcome::Done : write_outcome::Conflict,
                                       item.version);
             } else {
                 const std::string &key = std::get<record_read>(action).key;
                 const versioned_record &item = store[key];
-                self.keeper.onRecord(now, key, item.version,
+                self.leases.onRecord(now, key, item.version,
                                      item.version == 0 ? std::optional<lease_record>()
                                                        : item.record);
             }
         }
-        for (const lease_event &event : self.keeper.takeEvents())
+        for (const lease_event &event : self.leases.takeEvents())
             self.limits.onLease(now, event);
         for (const grant_call &call : self.limits.tick(now)) {
             const grant_answer answer = fleet.at(call.to).limits.onRequest(now, call.request);
--- a/trefoilrouter/src/callers_handler.cpp
+++ b/trefoilrouter/src/callers_handler.cpp
@@ -280,7 +280,7 @@
         const team *ownTeam = routes.findTeam(m_team);
         const double rate = ownTeam ? static_cast<double>(ownTeam->rate) : 0;
         const auto owner = m_snapshot->shardOwners.find(shardKey(m_team, m_snapshot->limitShards));
-        const std::vector<member> order = rankInstancesForCaller(
+        const std::vector<member> rankedInstances = rankInstancesForCaller(
             m_snapshot->members,
             {.team = m_team.empty() && target ? std::string_view(target->name) : m_team,
              .caller = m_keyDigest,
@@ -288,9 +288,9 @@
              .zone = m_settings.zone,
              .subsetSize = discoverySubsetSize(rate, totalRate, m_snapshot->members.size())});
         Json::Value response(Json::objectValue);
-        response["validity_seconds"] = Json::Int64(toMilliseconds(entryValidity) / 1000);
+        response["validity_seconds"] = Json::Int64(toMilliseconds(entryResponseTtl) / 1000);
         response["entries"] = Json::Value(Json::arrayValue);
-        for (const member &each : order) {
+        for (const member &each : rankedInstances) {
             Json::Value entry(Json::objectValue);
             entry["address"] = each.info.callers;
             entry["zone"] = each.info.zone;
--- a/trefoilrouter/src/callers_handler.h
+++ b/trefoilrouter/src/callers_handler.h
@@ -14,7 +14,7 @@
 makeCallersHandlerFactory(const proxy_context &context, const settings &instanceSettings);
 
 /// How long a caller may cache a response of /v1/entry.
-constexpr duration entryValidity = std::chrono::seconds(5);
+constexpr duration entryResponseTtl = std::chrono::seconds(5);
 
 /// Header of a refusal that tells whether the request may have run on a backend server, and its
 /// values.
--- a/trefoilrouter/src/edge/store_watch.cpp
+++ b/trefoilrouter/src/edge/store_watch.cpp
@@ -40,7 +40,7 @@
 constexpr duration retryPause = std::chrono::milliseconds(250);
 constexpr duration maxRetryPause = std::chrono::milliseconds(1000);
 constexpr int maxDoublings = 8;
-/// Servers whose entries lapsed in an outage register again within 2 s of its end.
+/// Servers whose entries expired in an outage register again within 2 s of its end.
 constexpr duration serverReregistrationTime = std::chrono::milliseconds(1900);
 /// Time that a copy may be behind before it is fetched from another instance; normally the store's
 /// watch delivers changes sooner.
@@ -127,10 +127,11 @@
         watched_kind &watched = m_kinds.find(kind)->second;
         watched.failures = 0;
         object_mirror &mirror = watched.mirror;
-        const timestamp lapseEnd = outageEnd + watched.reregistrationTime;
-        hasChanged = needsSnapshot
-            ? mirror.applySnapshot(now, answer->changed, answer->upToVersion, lapseEnd)
-            : mirror.applyChanges(now, answer->changed, answer->upToVersion, lapseEnd);
+        const timestamp reregistrationDeadline = outageEnd + watched.reregistrationTime;
+        hasChanged = needsSnapshot ? mirror.applySnapshot(now, answer->changed, answer->upToVersion,
+                                                          reregistrationDeadline)
+                                   : mirror.applyChanges(now, answer->changed, answer->upToVersion,
+                                                         reregistrationDeadline);
         hasChanged = mirror.dropLapsed(now) || hasChanged;
     }
     const bool hadChanges = !needsSnapshot && !answer->changed.empty();
--- a/trefoilrouter/src/edge/store_watch.h
+++ b/trefoilrouter/src/edge/store_watch.h
@@ -33,7 +33,7 @@
                          const std::map<std::string, std::uint64_t, std::less<>> &newest);
     /// Fetches the copies that have been behind for too long from other instances. May block.
     void fetchStaleCopies(timestamp now);
-    /// Drops objects that lapsed during an outage and were not written again in time.
+    /// Drops objects that expired during an outage and were not written again in time.
     void dropLapsed(timestamp now);
     /// Returns whether the instance list is known and has no entry @p name.
     bool lacksInstance(const std::string &name);
@@ -47,7 +47,8 @@
         duration waitTime;
         /// Number of instances, counted by rank, that read the newest state from the store.
         int freshReaders = 0;
-        /// How long after an outage lapsed objects may be written again; zero if they don't lapse.
+        /// How long after an outage expired objects may be written again; zero for kinds whose
+        /// objects do not expire.
         duration reregistrationTime {};
         bool isReachable = true;
         /// Calls that failed in a row.
--- a/trefoilrouter/src/instance.cpp
+++ b/trefoilrouter/src/instance.cpp
@@ -174,11 +174,11 @@
         control.leave();
         const timestamp start = boot_clock::now();
         const auto elapsed = [&] { return boot_clock::now() - start; };
-        while (elapsed() < entryValidity + drainCheckPeriod)
+        while (elapsed() < entryResponseTtl + drainCheckPeriod)
             std::this_thread::sleep_for(drainCheckPeriod);
         while (control.openRequests() > 0 && elapsed() < options.drainTimeout)
             std::this_thread::sleep_for(drainCheckPeriod);
-        while (!control.hasReleasedLeases() && elapsed() < entryValidity + leaseHandoverTimeout)
+        while (!control.hasReleasedLeases() && elapsed() < entryResponseTtl + leaseHandoverTimeout)
             std::this_thread::sleep_for(drainCheckPeriod);
         if (control.openRequests() > 0)
             logWarning("instance", "Streams still open after the drain timeout are aborted.");
