--- a/libs/control/include/control/request_coordinator.h
+++ b/libs/control/include/control/request_coordinator.h
@@ -17,7 +17,7 @@
 #include <delivery/claim.h>
 #include <delivery/retry_budget.h>
 #include <limits/rate_limiter.h>
-#include <rollout/evidence.h>
+#include <rollout/outcome_statistics.h>
 #include <rollout/rollout_controller.h>
 #include <routing/crash_tracker.h>
 #include <routing/placement.h>
@@ -222,7 +222,7 @@
     /// Returns the outcomes counted by this instance. Counts never decrease.
     const std::map<outcome_key, outcome_counts> &localOutcomes() const { return m_outcomes; }
     /// Returns the outcomes of @p pool from all instances.
-    const evidence &evidenceFor(const std::string &pool) { return m_evidence[pool]; }
+    const outcome_statistics &evidenceFor(const std::string &pool) { return m_evidence[pool]; }
     /// Returns the share of the traffic of @p pool, from 0 to 1, that this instance currently sends
     /// to the new version of its rollout.
     double newVersionShare(const std::string &pool);
@@ -270,7 +270,7 @@
     std::map<std::string, retry_budget, std::less<>> m_budgets;
     std::map<std::string, std::string, std::less<>> m_reportedVersions;
     std::map<std::string, rollout_record, std::less<>> m_rollouts;
-    std::map<std::string, evidence> m_evidence;
+    std::map<std::string, outcome_statistics> m_evidence;
     std::map<outcome_key, outcome_counts> m_outcomes;
     crash_tracker m_crashes;
     std::map<std::uint64_t, request_state> m_requests;
--- a/libs/control/src/request_coordinator.cpp
+++ b/libs/control/src/request_coordinator.cpp
@@ -336,7 +336,7 @@
         return 0;
     // An instance that sees the new version fail stops sending to it without waiting for the
     // controller.
-    evidence_verdict verdict;
+    bad_version_verdict verdict;
     const rollout_record &record = found->second;
     if (record.stage == rollout_stage::Moving
         && m_evidence[pool].isBad(record.to, record.from, verdict))
@@ -443,7 +443,7 @@
 void request_coordinator::recordOutcome(const request_state &state, bool failed, bool slow)
 {
     const std::string &version = state.choice->version;
-    m_evidence[state.request.pool].note(version, state.request.route, failed, slow);
+    m_evidence[state.request.pool].recordOutcome(version, state.request.route, failed, slow);
     outcome_counts &counts = m_outcomes[{state.request.pool, version, state.request.route}];
     ++counts.requests;
     counts.failures += failed ? 1 : 0;
--- a/libs/dispatch/include/dispatch/member_table.h
+++ b/libs/dispatch/include/dispatch/member_table.h
@@ -90,12 +90,12 @@
     /// Records a report of @p name, which announces its next report after @p period. @p leaderEpoch
     /// is 0 unless @p name is the leader. Returns false if @p name isn't listed or the report is
     /// not newer than the last one.
-    bool noteReport(timestamp now, std::string_view name, std::uint64_t incarnation,
-                    std::uint64_t sequence, bool isLeaving, std::uint64_t leaderEpoch,
-                    duration period = {});
+    bool recordReport(timestamp now, std::string_view name, std::uint64_t incarnation,
+                      std::uint64_t sequence, bool isLeaving, std::uint64_t leaderEpoch,
+                      duration period = {});
     /// Records the scheduling delay of @p name, which may be this instance: the time that its
     /// threads wait for a processor.
-    void noteDelay(std::string_view name, duration delay);
+    void recordSchedulingDelay(std::string_view name, duration delay);
 
     /// Returns whether the other instance @p name is alive and not leaving.
     bool isAlive(timestamp now, std::string_view name) const;
--- a/libs/dispatch/include/dispatch/peer_report.h
+++ b/libs/dispatch/include/dispatch/peer_report.h
@@ -10,7 +10,7 @@
 #include <core/digest.h>
 #include <dispatch/load_balancer.h>
 #include <dispatch/team_limits.h>
-#include <rollout/evidence.h>
+#include <rollout/outcome_statistics.h>
 
 namespace trefoil {
 
--- a/libs/dispatch/include/dispatch/release_shares.h
+++ b/libs/dispatch/include/dispatch/release_shares.h
@@ -7,7 +7,7 @@
 #include <vector>
 
 #include <core/clock.h>
-#include <rollout/evidence.h>
+#include <rollout/outcome_statistics.h>
 #include <rollout/rollout_controller.h>
 
 namespace trefoil {
@@ -39,7 +39,7 @@
 
 /// Splits a service's requests between the old and the new release while traffic moves. Each
 /// instance advances the stages by its own clock, from when it first saw the rollout request, and
-/// rolls the release back when it has enough evidence of failures. Not thread-safe.
+/// rolls the release back when it has counted enough failures. Not thread-safe.
 class release_shares
 {
 public:
@@ -49,8 +49,8 @@
     void setRequest(timestamp now, std::string_view service,
                     const std::optional<rollout_request> &request);
     /// Counts the outcome of a request that this instance served.
-    void note(std::string_view service, std::string_view release, std::string_view route,
-              bool failed, bool slow);
+    void recordOutcome(std::string_view service, std::string_view release, std::string_view route,
+                       bool failed, bool slow);
     /// Adds the outcomes that another instance has counted since its last report.
     void add(std::string_view service, std::string_view release, std::string_view route,
              const outcome_counts &counts);
@@ -74,7 +74,7 @@
         std::optional<rollout_request> request;
         timestamp seenAt;
         rollout_stage stage = rollout_stage::Moving;
-        evidence outcomes;
+        outcome_statistics outcomes;
         /// Last seen other release, which the new release is compared with.
         std::string baseline;
     };
--- a/libs/dispatch/src/member_table.cpp
+++ b/libs/dispatch/src/member_table.cpp
@@ -21,9 +21,9 @@
     m_members = std::move(next);
 }
 
-bool member_table::noteReport(timestamp now, std::string_view name, std::uint64_t incarnation,
-                              std::uint64_t sequence, bool isLeaving, std::uint64_t leaderEpoch,
-                              duration period)
+bool member_table::recordReport(timestamp now, std::string_view name, std::uint64_t incarnation,
+                                std::uint64_t sequence, bool isLeaving, std::uint64_t leaderEpoch,
+                                duration period)
 {
     const auto found = m_members.find(name);
     if (found == m_members.end())
@@ -187,7 +187,7 @@
     return now < m_spreadUntil ? usable : large;
 }
 
-void member_table::noteDelay(std::string_view name, duration delay)
+void member_table::recordSchedulingDelay(std::string_view name, duration delay)
 {
     const auto found = m_members.find(name);
     if (found != m_members.end())
--- a/libs/dispatch/src/release_shares.cpp
+++ b/libs/dispatch/src/release_shares.cpp
@@ -25,8 +25,8 @@
         state.stage = *request->reported;
 }
 
-void release_shares::note(std::string_view service, std::string_view release,
-                          std::string_view route, bool failed, bool slow)
+void release_shares::recordOutcome(std::string_view service, std::string_view release,
+                                   std::string_view route, bool failed, bool slow)
 {
     const auto found = m_services.find(service);
     if (found == m_services.end() || !found->second.request)
@@ -34,7 +34,7 @@
     service_state &state = found->second;
     if (release != state.request->release)
         state.baseline = std::string(release);
-    state.outcomes.note(release, route, failed, slow);
+    state.outcomes.recordOutcome(release, route, failed, slow);
 }
 
 void release_shares::add(std::string_view service, std::string_view release, std::string_view route,
@@ -52,7 +52,7 @@
         service_state &state = it->second;
         if (!state.request || state.stage != rollout_stage::Moving)
             continue;
-        evidence_verdict why;
+        bad_version_verdict why;
         const std::string &release = state.request->release;
         if (state.outcomes.isBad(release, state.baseline, why)) {
             state.stage = rollout_stage::RolledBack;
--- a/libs/dispatch/tests/member_table_test.cpp
+++ b/libs/dispatch/tests/member_table_test.cpp
@@ -46,19 +46,19 @@
     members.setListed(now, entries);
     EXPECT_EQ(members.callerAddresses(now, "z1", true),
               (std::vector<endpoint> {entries[1].callers, entries[2].callers}));
-    members.noteDelay("b", std::chrono::milliseconds(100));
-    members.noteDelay("c", std::chrono::milliseconds(20));
+    members.recordSchedulingDelay("b", std::chrono::milliseconds(100));
+    members.recordSchedulingDelay("c", std::chrono::milliseconds(20));
     EXPECT_EQ(members.callerAddresses(now, "z1", true).size(), 4u);
     // Callers stay spread for a while; otherwise the overload would return immediately.
-    members.noteDelay("b", {});
+    members.recordSchedulingDelay("b", {});
     for (const char *name : {"b", "c", "d"})
-        members.noteReport(now + std::chrono::seconds(5), name, 1, 1, false, 0);
+        members.recordReport(now + std::chrono::seconds(5), name, 1, 1, false, 0);
     EXPECT_EQ(members.callerAddresses(now + std::chrono::seconds(5), "z1", true).size(), 4u);
     for (const char *name : {"b", "c", "d"})
-        members.noteReport(now + std::chrono::seconds(11), name, 1, 2, false, 0);
+        members.recordReport(now + std::chrono::seconds(11), name, 1, 2, false, 0);
     EXPECT_EQ(members.callerAddresses(now + std::chrono::seconds(11), "z1", true).size(), 2u);
     // A single large instance is too few, so callers are sent to all instances.
-    members.noteReport(now + std::chrono::seconds(11), "c", 1, 3, true, 0);
+    members.recordReport(now + std::chrono::seconds(11), "c", 1, 3, true, 0);
     EXPECT_EQ(members.callerAddresses(now + std::chrono::seconds(11), "z1", true).size(), 3u);
 }
 
@@ -68,12 +68,12 @@
     timestamp now {};
     members.setListed(now,
                       {makeEntry("a", "z1", 1), makeEntry("b", "z1", 2), makeEntry("c", "z1", 3)});
-    EXPECT_TRUE(members.noteReport(now, "b", 1, 1, true, 0));
+    EXPECT_TRUE(members.recordReport(now, "b", 1, 1, true, 0));
     EXPECT_FALSE(members.isAlive(now, "b"));
     now += std::chrono::milliseconds(1100);
     EXPECT_FALSE(members.isAlive(now, "c"));
     EXPECT_EQ(members.callerAddresses(now, "z1", true).size(), 1u);
-    EXPECT_TRUE(members.noteReport(now, "c", 1, 1, false, 0));
+    EXPECT_TRUE(members.recordReport(now, "c", 1, 1, false, 0));
     EXPECT_TRUE(members.isAlive(now, "c"));
 }
 
@@ -84,8 +84,8 @@
     timestamp now {};
     members.setListed(now,
                       {makeEntry("a", "z1", 1), makeEntry("b", "z1", 2), makeEntry("c", "z1", 3)});
-    members.noteReport(now, "b", 1, 1, false, 0, std::chrono::milliseconds(1500));
-    members.noteReport(now, "c", 1, 1, false, 0, std::chrono::milliseconds(200));
+    members.recordReport(now, "b", 1, 1, false, 0, std::chrono::milliseconds(1500));
+    members.recordReport(now, "c", 1, 1, false, 0, std::chrono::milliseconds(200));
     EXPECT_TRUE(members.isAlive(now + std::chrono::milliseconds(4400), "b"));
     EXPECT_FALSE(members.isAlive(now + std::chrono::milliseconds(4600), "b"));
     EXPECT_FALSE(members.isAlive(now + std::chrono::milliseconds(1100), "c"));
@@ -96,10 +96,10 @@
     member_table members({.self = "a", .zone = "z1"});
     timestamp now {};
     members.setListed(now, {makeEntry("a", "z1", 1), makeEntry("b", "z1", 2)});
-    EXPECT_TRUE(members.noteReport(now, "b", 2, 5, false, 3));
-    EXPECT_FALSE(members.noteReport(now, "b", 2, 4, true, 0));
-    EXPECT_FALSE(members.noteReport(now, "b", 1, 9, true, 0));
-    EXPECT_FALSE(members.noteReport(now, "unlisted", 1, 1, false, 0));
+    EXPECT_TRUE(members.recordReport(now, "b", 2, 5, false, 3));
+    EXPECT_FALSE(members.recordReport(now, "b", 2, 4, true, 0));
+    EXPECT_FALSE(members.recordReport(now, "b", 1, 9, true, 0));
+    EXPECT_FALSE(members.recordReport(now, "unlisted", 1, 1, false, 0));
     EXPECT_TRUE(members.isLeaderHeard(now, "b", 3));
     EXPECT_FALSE(members.isLeaderHeard(now + std::chrono::seconds(1), "b", 3));
     EXPECT_TRUE(members.reportedLeadership("b", 3));
@@ -113,7 +113,7 @@
     members.setListed(now, {makeEntry("a", "z1", 1), makeEntry("b", "z1", 2)});
     EXPECT_TRUE(members.isSelfListed());
     EXPECT_FALSE(members.isAnyLeaderHeard(now));
-    members.noteReport(now, "b", 1, 1, false, 4);
+    members.recordReport(now, "b", 1, 1, false, 4);
     EXPECT_TRUE(members.isAnyLeaderHeard(now));
     EXPECT_FALSE(members.isAnyLeaderHeard(now + std::chrono::seconds(1)));
 }
@@ -126,7 +126,7 @@
                       {makeEntry("a", "z1", 1), makeEntry("b", "z1", 2), makeEntry("c", "z1", 3)});
     EXPECT_EQ(members.rank(now), 2);
     now += std::chrono::seconds(2);
-    members.noteReport(now, "b", 1, 1, false, 0);
+    members.recordReport(now, "b", 1, 1, false, 0);
     EXPECT_EQ(members.rank(now), 1);
 }
 
@@ -178,7 +178,7 @@
         entry.peers = entry.callers;
     members.setListed(now, entries);
     now += std::chrono::seconds(2);
-    members.noteReport(now, "c", 1, 1, false, 0);
+    members.recordReport(now, "c", 1, 1, false, 0);
     for (std::uint64_t sequence = 1; sequence <= 4; ++sequence) {
         const std::vector<report_target> targets = members.reportTargets(now, sequence);
         ASSERT_EQ(targets.size(), 2u);
--- a/libs/dispatch/tests/release_shares_test.cpp
+++ b/libs/dispatch/tests/release_shares_test.cpp
@@ -35,7 +35,7 @@
             EXPECT_NE(takesNew, shares.allows(now, service, "v1", randomBits));
             const bool fails =
                 takesNew && toSeconds(now - timestamp {}) >= failingFrom && i % 2 == 0;
-            shares.note(service, takesNew ? "v2" : "v1", "r", fails, false);
+            shares.recordOutcome(service, takesNew ? "v2" : "v1", "r", fails, false);
             newCount += takesNew ? 1 : 0;
             failedCount += fails ? 1 : 0;
             ++totalCount;
--- a/libs/rollout/benchmarks/rollout_simulation.h
+++ b/libs/rollout/benchmarks/rollout_simulation.h
@@ -37,9 +37,9 @@
 /// Simulates a rollout of 60 s in virtual time: 18 backend servers, 100 requests per second on
 /// three routes, 1.5 s to load a version, and outcomes that reach the controller half a second
 /// late. The controller is replaced @p restartControllerAt seconds after the start, if that is not
-/// negative.
+/// negative. Without @p reportFailures all outcomes reach it as successes.
 inline rollout_result simulateRollout(const version_behaviour &next, std::uint64_t seed,
-                                      double restartControllerAt = -1, bool useEvidence = true)
+                                      double restartControllerAt = -1, bool reportFailures = true)
 {
     const timestamp start {std::chrono::seconds(1000)};
     const rollout_options options {
@@ -54,7 +54,7 @@
     for (int i = 0; i < 18; ++i)
         servers.push_back({.name = "w" + std::to_string(i), .version = "v1"});
     std::map<std::string, std::pair<double, std::string>> loading;
-    evidence outcomes;
+    outcome_statistics outcomes;
     std::vector<std::function<void()>> pendingReports;
     rollout_result rollout;
     double requests = 0;
@@ -107,9 +107,9 @@
             const version_behaviour &behaviour = takesNew ? next : good;
             const bool failed = chance(behaviour.failureProbability(record.share, route, seconds));
             const bool slow = chance(behaviour.slowProbability(record.share, route, seconds));
-            pendingReports.push_back([&outcomes, version, route, failed, slow, useEvidence] {
-                outcomes.note(version, "r" + std::to_string(route), failed && useEvidence,
-                              slow && useEvidence);
+            pendingReports.push_back([&outcomes, version, route, failed, slow, reportFailures] {
+                outcomes.recordOutcome(version, "r" + std::to_string(route),
+                                       failed && reportFailures, slow && reportFailures);
             });
             if (rollout.rolledBackAt < 0) {
                 requests += 1;
--- a/libs/rollout/include/rollout/evidence.h
+++ b/libs/rollout/include/rollout/outcome_statistics.h
@@ -20,7 +20,7 @@
 };
 
 /// Version that was found to be bad, and the route on which it failed or was slow.
-struct evidence_verdict
+struct bad_version_verdict
 {
     std::string version;
     std::string route;
@@ -31,16 +31,17 @@
 /// Decides from request outcomes whether a version is worse than its predecessor, separately for
 /// each route. A sequential test (CUSUM of log-likelihood ratios) detects faults that exist from
 /// the start as well as faults that appear later. Not thread-safe.
-class evidence
+class outcome_statistics
 {
 public:
     /// Counts the outcome of one request.
-    void note(std::string_view version, std::string_view route, bool failed, bool slow);
+    void recordOutcome(std::string_view version, std::string_view route, bool failed, bool slow);
     /// Adds the outcomes that another instance counted since its last report.
     void add(std::string_view version, std::string_view route, const outcome_counts &counts);
 
     /// Returns whether @p candidate is worse than @p baseline on any route; if so, sets @p why.
-    bool isBad(std::string_view candidate, std::string_view baseline, evidence_verdict &why) const;
+    bool isBad(std::string_view candidate, std::string_view baseline,
+               bad_version_verdict &why) const;
     /// Returns the sum of the outcomes of @p version over all routes.
     outcome_counts total(std::string_view version) const;
     /// Removes the outcomes of @p version, before a new rollout of a version with the same name.
--- a/libs/rollout/include/rollout/rollout_controller.h
+++ b/libs/rollout/include/rollout/rollout_controller.h
@@ -9,7 +9,7 @@
 #include <vector>
 
 #include <core/clock.h>
-#include <rollout/evidence.h>
+#include <rollout/outcome_statistics.h>
 
 namespace trefoil {
 
@@ -82,7 +82,7 @@
 ///
 ///     rollout_controller controller(options, record);
 ///     controller.setServers(servers);
-///     for (const load_order &order : controller.tick(now, epoch, evidence))
+///     for (const load_order &order : controller.tick(now, epoch, outcomes))
 ///         send(order);
 ///     if (controller.record() != written) write(controller.record());
 class rollout_controller
@@ -96,7 +96,8 @@
     void setServers(std::vector<rollout_server> servers);
     /// Rolls back a bad version, else updates the traffic share, and returns the orders that are
     /// due. @p epoch is the epoch of the rollout lease; the orders carry it.
-    std::vector<load_order> tick(timestamp now, std::uint64_t epoch, const evidence &outcomes);
+    std::vector<load_order> tick(timestamp now, std::uint64_t epoch,
+                                 const outcome_statistics &outcomes);
     /// Handles an order that was refused or got no answer.
     void onOrderFailed(std::string_view server);
     /// Returns the state to be stored in the platform.
@@ -104,7 +105,7 @@
 
 private:
     double scheduledShare(timestamp now) const;
-    void updateShare(timestamp now, const evidence &outcomes);
+    void updateShare(timestamp now, const outcome_statistics &outcomes);
     std::vector<load_order> dueOrders(timestamp now, std::uint64_t epoch);
     std::size_t targetServersOnNewVersion() const;
 
--- a/libs/rollout/src/evidence.cpp
+++ b/libs/rollout/src/outcome_statistics.cpp
@@ -1,4 +1,4 @@
-#include <rollout/evidence.h>
+#include <rollout/outcome_statistics.h>
 
 #include <algorithm>
 #include <cmath>
@@ -43,13 +43,15 @@
 
 } // namespace
 
-void evidence::note(std::string_view version, std::string_view route, bool failed, bool slow)
+void outcome_statistics::recordOutcome(std::string_view version, std::string_view route,
+                                       bool failed, bool slow)
 {
     add(version, route,
         {.requests = 1, .failures = failed ? 1u : 0u, .slow = !failed && slow ? 1u : 0u});
 }
 
-void evidence::add(std::string_view version, std::string_view route, const outcome_counts &counts)
+void outcome_statistics::add(std::string_view version, std::string_view route,
+                             const outcome_counts &counts)
 {
     tally &item = m_tallies[{std::string(version), std::string(route)}];
     item.counts.requests += counts.requests;
@@ -61,8 +63,8 @@
                               slowShares);
 }
 
-double evidence::baselineShare(std::string_view version, std::string_view route,
-                               std::uint64_t outcome_counts::*field) const
+double outcome_statistics::baselineShare(std::string_view version, std::string_view route,
+                                         std::uint64_t outcome_counts::*field) const
 {
     const auto found = m_tallies.find({std::string(version), std::string(route)});
     if (found == m_tallies.end() || found->second.counts.requests < minBaselineRequests)
@@ -71,8 +73,8 @@
     return static_cast<double>(counts.*field) / static_cast<double>(counts.requests);
 }
 
-bool evidence::isBad(std::string_view candidate, std::string_view baseline,
-                     evidence_verdict &why) const
+bool outcome_statistics::isBad(std::string_view candidate, std::string_view baseline,
+                               bad_version_verdict &why) const
 {
     const auto isWorse = [&](const tally &item, std::string_view route,
                              std::uint64_t outcome_counts::*field, const test_shares &shares) {
@@ -101,7 +103,7 @@
     return false;
 }
 
-outcome_counts evidence::total(std::string_view version) const
+outcome_counts outcome_statistics::total(std::string_view version) const
 {
     outcome_counts sum;
     for (auto it = m_tallies.begin(); it != m_tallies.end(); ++it) {
@@ -114,7 +116,7 @@
     return sum;
 }
 
-void evidence::forget(std::string_view version)
+void outcome_statistics::forget(std::string_view version)
 {
     std::erase_if(m_tallies, [&](const auto &each) { return each.first.first == version; });
 }
--- a/libs/rollout/src/rollout_controller.cpp
+++ b/libs/rollout/src/rollout_controller.cpp
@@ -82,9 +82,9 @@
 }
 
 std::vector<load_order> rollout_controller::tick(timestamp now, std::uint64_t epoch,
-                                                 const evidence &outcomes)
+                                                 const outcome_statistics &outcomes)
 {
-    evidence_verdict why;
+    bad_version_verdict why;
     if (m_record.stage == rollout_stage::Moving
         && outcomes.isBad(m_options.to, m_options.from, why)) {
         m_record.stage = rollout_stage::RolledBack;
@@ -109,7 +109,7 @@
     return reached == 0 ? m_options.initialShare : shareSteps[reached - 1];
 }
 
-void rollout_controller::updateShare(timestamp now, const evidence &outcomes)
+void rollout_controller::updateShare(timestamp now, const outcome_statistics &outcomes)
 {
     const bool isNewVersionRunning =
         std::any_of(m_servers.begin(), m_servers.end(),
--- a/trefoilrouter/src/edge/caller_session.cpp
+++ b/trefoilrouter/src/edge/caller_session.cpp
@@ -87,7 +87,7 @@
         const std::optional<caller_request> request = readRequest();
         if (!request)
             return;
-        m_state.noteRequest();
+        m_state.recordRequest();
         m_state.openRequests() += 1;
         const bool closesConnection =
             m_state.isLeaving() || !isKeepAlive(request->head.headers, request->head.isHttp10);
--- a/trefoilrouter/src/edge/edge_instance.cpp
+++ b/trefoilrouter/src/edge/edge_instance.cpp
@@ -257,7 +257,7 @@
     m_meanSchedulingDelay += (delay - m_meanSchedulingDelay) / delayAverageSpan;
     m_state.with([&](routing_state &routing) {
         routing.schedulingDelay = m_meanSchedulingDelay;
-        routing.members.noteDelay(m_settings.name, m_meanSchedulingDelay);
+        routing.members.recordSchedulingDelay(m_settings.name, m_meanSchedulingDelay);
     });
 }
 
--- a/trefoilrouter/src/edge/edge_state.h
+++ b/trefoilrouter/src/edge/edge_state.h
@@ -100,7 +100,7 @@
     /// Closes idle connections: all callers have had time to switch to another instance.
     void closeIdleConnections() { m_isClosing = true; }
     /// Records that the store answered this instance.
-    void noteStoreAnswer(timestamp now)
+    void recordStoreAnswer(timestamp now)
     {
         with([now](routing_state &routing) {
             routing.storeAnsweredAt = now;
@@ -115,7 +115,7 @@
     bool isReady() const;
 
     /// Records that a caller's request was read.
-    void noteRequest() { m_lastRequestAt = boot_clock::now(); }
+    void recordRequest() { m_lastRequestAt = boot_clock::now(); }
     /// Returns when the last caller's request was read.
     timestamp lastRequestAt() const { return m_lastRequestAt; }
     /// Number of requests in progress.
--- a/trefoilrouter/src/edge/leader_runner.cpp
+++ b/trefoilrouter/src/edge/leader_runner.cpp
@@ -230,7 +230,7 @@
     const bool knowsOrders = knowsOrdersOf(before);
     const result<std::uint64_t> written = m_store.put(leaseObject, toText(record), revision);
     if (written)
-        m_state.noteStoreAnswer(boot_clock::now());
+        m_state.recordStoreAnswer(boot_clock::now());
     const std::lock_guard<std::mutex> lock(m_mutex);
     m_lease.onWritten(boot_clock::now(),
                       written ? std::optional<std::uint64_t>(*written) : std::nullopt, knowsOrders);
--- a/trefoilrouter/src/edge/peer_exchange.cpp
+++ b/trefoilrouter/src/edge/peer_exchange.cpp
@@ -183,12 +183,12 @@
 {
     endpoint peer;
     const bool isNew = m_state.with([&](routing_state &routing) {
-        if (!routing.members.noteReport(now, report.from, report.incarnation, report.sequence,
-                                        report.isLeaving, report.leaderEpoch,
-                                        fromSeconds(report.periodMs / 1000)))
+        if (!routing.members.recordReport(now, report.from, report.incarnation, report.sequence,
+                                          report.isLeaving, report.leaderEpoch,
+                                          fromSeconds(report.periodMs / 1000)))
             return false;
         peer = routing.members.peerAddress(report.from);
-        routing.members.noteDelay(report.from, fromSeconds(report.delayMs / 1000));
+        routing.members.recordSchedulingDelay(report.from, fromSeconds(report.delayMs / 1000));
         applyServers(now, report, routing);
         applyWeights(now, report, routing);
         applyLimits(now, report, routing);
@@ -196,7 +196,7 @@
         return true;
     });
     if (isNew)
-        m_watch.notePeerChanges(now, peer, report.revisions);
+        m_watch.recordPeerChanges(now, peer, report.revisions);
 }
 
 void peer_exchange::applyServers(timestamp now, const peer_report &report, routing_state &routing)
--- a/trefoilrouter/src/edge/request_runner.cpp
+++ b/trefoilrouter/src/edge/request_runner.cpp
@@ -650,7 +650,8 @@
     m_state.with([&](routing_state &routing) {
         if (!routing.releases.request(m_service))
             return;
-        routing.releases.note(m_service, current.placed.release, m_route->name, failed, slow);
+        routing.releases.recordOutcome(m_service, current.placed.release, m_route->name, failed,
+                                       slow);
         release_outcomes &outcomes =
             routing.localOutcomes[m_service + "/" + current.placed.release + "/" + m_route->name];
         outcomes.service = m_service;
--- a/trefoilrouter/src/edge/store_watch.cpp
+++ b/trefoilrouter/src/edge/store_watch.cpp
@@ -112,13 +112,13 @@
             needsSnapshot = true;
             return;
         }
-        noteReachable(kind, false, answer.error().message);
+        recordReachability(kind, false, answer.error().message);
         std::this_thread::sleep_for(nextRetryPause(kind));
         return;
     }
-    noteReachable(kind, true, "");
+    recordReachability(kind, true, "");
     const timestamp now = boot_clock::now();
-    m_state.noteStoreAnswer(now);
+    m_state.recordStoreAnswer(now);
     const timestamp outageEnd =
         m_state.with([](routing_state &routing) { return routing.storeOutage.outageEnd(); });
     bool hasChanged = false;
@@ -160,7 +160,8 @@
     });
 }
 
-void store_watch::noteReachable(const std::string &kind, bool reachable, const std::string &reason)
+void store_watch::recordReachability(const std::string &kind, bool reachable,
+                                     const std::string &reason)
 {
     bool hasChanged = false;
     bool isAnyReachable = false;
@@ -192,8 +193,8 @@
     return newest;
 }
 
-void store_watch::notePeerChanges(timestamp now, const endpoint &peer,
-                                  const std::map<std::string, std::uint64_t, std::less<>> &newest)
+void store_watch::recordPeerChanges(timestamp now, const endpoint &peer,
+                                    const std::map<std::string, std::uint64_t, std::less<>> &newest)
 {
     const std::lock_guard<std::mutex> lock(m_mutex);
     for (auto it = newest.begin(); it != newest.end(); ++it) {
--- a/trefoilrouter/src/edge/store_watch.h
+++ b/trefoilrouter/src/edge/store_watch.h
@@ -29,8 +29,8 @@
     std::map<std::string, std::uint64_t, std::less<>> newestChanges();
     /// Records the newest changes that another instance has seen. A copy that stays behind them is
     /// fetched from it.
-    void notePeerChanges(timestamp now, const endpoint &peer,
-                         const std::map<std::string, std::uint64_t, std::less<>> &newest);
+    void recordPeerChanges(timestamp now, const endpoint &peer,
+                           const std::map<std::string, std::uint64_t, std::less<>> &newest);
     /// Fetches the copies that have been behind for too long from other instances. May block.
     void fetchStaleCopies(timestamp now);
     /// Drops objects that expired during an outage and were not written again in time.
@@ -70,7 +70,7 @@
     duration nextRetryPause(const std::string &kind);
     result<void> watch(const std::string &kind, const std::stop_token &stop);
     void watchOnce(const std::string &kind, bool &needsSnapshot);
-    void noteReachable(const std::string &kind, bool reachable, const std::string &reason);
+    void recordReachability(const std::string &kind, bool reachable, const std::string &reason);
     void applyFetchedCopy(const std::string &kind, const std::string &text);
     void apply(const std::string &kind);
     void applyConfiguration(const std::map<std::string, object, std::less<>> &objects);
