--- a/libs/dispatch/include/dispatch/leader_lease.h
+++ b/libs/dispatch/include/dispatch/leader_lease.h
@@ -57,7 +57,7 @@
     /// write at the same time.
     duration rankDelay = std::chrono::milliseconds(300);
     /// Delay for each candidate of lower rank before a candidate first reads the record when no
-    /// leader is heard. Within two report periods only a few instances read it.
+    /// leader reports. Within two report periods only a few instances read it.
     duration firstReadDelay = std::chrono::milliseconds(50);
 };
 
@@ -77,8 +77,8 @@
     explicit leader_lease(const leader_lease_options &options) : m_options(options) { }
 
     /// Returns the next call to make. @p rank is the number of live instances ordered before this
-    /// one. @p isLeaderAlive tells that the known leader, or any leader while none is known, was
-    /// heard recently; the record is not read then. @p mayLead is false for an instance that is
+    /// one. @p isLeaderAlive is set if the known leader, or any leader while none is known,
+    /// reported recently; the record is not read then. @p mayLead is false for an instance that is
     /// leaving: it releases the lease and doesn't take it over.
     store_call next(timestamp now, int rank, bool isLeaderAlive, bool mayLead);
     /// Returns whether the record has been read or written, and no takeover has failed since.
@@ -90,8 +90,8 @@
     /// flight.
     leader_record startWrite(timestamp now, bool release);
     /// Takes the result of the write that startWrite() began: the new revision, or nothing if the
-    /// write was not acknowledged. @p knowsOrders tells that the reports of the previous leader
-    /// were heard, so that each server it may have sent an order to is known.
+    /// write was not acknowledged. @p knowsOrders is set if the reports of the previous
+    /// leader were received, so that each server it may have sent an order to is known.
     void onWritten(timestamp now, std::optional<std::uint64_t> revision, bool knowsOrders);
 
     /// Returns whether this instance may act as the leader at @p now: send orders, report rollouts
@@ -113,7 +113,7 @@
     leader_record m_record;
     std::uint64_t m_revision = 0;
     bool m_isKnown = false;
-    /// Time since which no leader has been heard.
+    /// Time since which no leader has reported.
     std::optional<timestamp> m_noLeaderSince;
     bool m_isHeld = false;
     /// The record names this instance but dates from before a restart or an expired lease.
--- a/libs/dispatch/include/dispatch/load_balancer.h
+++ b/libs/dispatch/include/dispatch/load_balancer.h
@@ -46,7 +46,7 @@
     endpoint address;
     std::string zone;
     std::string release;
-    /// Weights that the server is believed to run; 0 for a service without a model.
+    /// Weights that the server is assumed to run; 0 for a service without a model.
     std::uint64_t weights = 0;
     /// Requests with the same salt share KV cache on an engine. It contains the model, the weights
     /// version and the team if that is isolated, so a request never reuses KV cache of other
@@ -170,7 +170,7 @@
     /// serversWithNewWeights(), so this instance does not report them again.
     void onWeightsReported(std::string_view server, std::string_view model, std::uint64_t version);
     /// Records that @p server refused a request because it doesn't run version @p tried: it has
-    /// loaded weights that this instance has not heard of. The next target version is assumed
+    /// loaded weights that this instance does not know yet. The next target version is assumed
     /// until the server confirms one.
     void onWeightsMismatch(timestamp now, std::string_view server, std::string_view model,
                            std::uint64_t tried);
--- a/libs/dispatch/include/dispatch/member_table.h
+++ b/libs/dispatch/include/dispatch/member_table.h
@@ -49,9 +49,9 @@
     std::string self;
     /// Availability zone of this instance.
     std::string zone;
-    /// A member that is not heard for longer is considered dead.
+    /// A member that does not report for longer is considered dead.
     report_timeout reportTimeout;
-    /// Another instance may take over from a leader that is not heard for this time plus
+    /// Another instance may take over from a leader that does not report for this time plus
     /// report_timeout::growth(): about three report periods. Short, because the successor checks
     /// with the store first.
     duration leaderTimeout = std::chrono::milliseconds(650);
@@ -128,8 +128,8 @@
     /// @p epoch.
     bool reportedLeadership(std::string_view name, std::uint64_t epoch) const;
 
-    /// Returns the addresses of the instances that a caller in @p zone is to use. @p isSelfUsable
-    /// tells whether this instance accepts callers.
+    /// Returns the addresses of the instances that a caller in @p zone should use. @p isSelfUsable
+    /// says whether this instance accepts callers.
     std::vector<endpoint> callerAddresses(timestamp now, std::string_view zone, bool isSelfUsable);
 
 private:
--- a/libs/dispatch/include/dispatch/team_limits.h
+++ b/libs/dispatch/include/dispatch/team_limits.h
@@ -19,7 +19,8 @@
 /// Options of team_limits.
 struct team_limit_options
 {
-    /// An instance that is not heard for longer is assumed to spend an equal share of each limit.
+    /// An instance that does not report for longer is assumed to spend an equal share of each
+    /// limit.
     report_timeout reportTimeout;
     /// Bounds, as fractions of the burst, of the level below which an instance admits only its
     /// share of the rate, in proportion to the demand that it sees. Between the bounds, that level
@@ -68,7 +69,7 @@
     /// Refunds the units of a request that never ran.
     void refund(std::string_view team, double units);
 
-    /// Sets the names of all other known instances, whether or not they have been heard.
+    /// Sets the names of all other known instances, whether or not they have reported.
     void setPeers(timestamp now, const std::vector<std::string> &peers);
     /// Applies the totals and demand rates that @p peer reports, which announces its next report
     /// after @p period. A changed @p incarnation means that the peer restarted with totals of 0.
@@ -86,7 +87,7 @@
         double level = 0;
         /// Share of the rate that this instance may admit while the level is low.
         double share = 1;
-        /// Other instances heard recently.
+        /// Other instances that reported recently.
         int heardPeers = 0;
         /// Other known instances.
         int knownPeers = 0;
--- a/libs/dispatch/src/load_balancer.cpp
+++ b/libs/dispatch/src/load_balancer.cpp
@@ -493,7 +493,7 @@
     server_state *state = findServer(server);
     if (state == nullptr)
         return;
-    // Requests beyond the known load are attributed to instances that were not heard.
+    // Requests beyond the known load are attributed to instances whose reports are missing.
     const server_load known = totalLoad(now, *state);
     const int unknown = running + waiting - known.running - 1;
     peer_load &unattributed = state->peers["(unknown)"];
--- a/libs/dispatch/src/team_limits.cpp
+++ b/libs/dispatch/src/team_limits.cpp
@@ -154,7 +154,7 @@
     std::erase_if(m_peers, [&peers](const auto &each) {
         return std::find(peers.begin(), peers.end(), each.first) == peers.end();
     });
-    // An instance that was never heard counts as silent from the start.
+    // An instance that never reported counts as silent from the start.
     for (const std::string &name : peers)
         m_peers.try_emplace(
             name,
--- a/libs/limits/include/limits/rate_limiter.h
+++ b/libs/limits/include/limits/rate_limiter.h
@@ -175,7 +175,8 @@
         timestamp ownerChangeUntil;
         std::vector<grant_settlement> settled;
     };
-    /// Source of an admitted request's tokens: a reservation in the own bucket or shares of grants.
+    /// Source of an admitted request's tokens: a reservation in this instance's bucket or shares
+    /// of grants.
     struct admitted_request
     {
         std::string team;
--- a/trefoilrouter/src/edge/leader_runner.h
+++ b/trefoilrouter/src/edge/leader_runner.h
@@ -38,7 +38,7 @@
     bool keepLease();
     void readLease();
     void writeLease(bool release);
-    /// Returns whether the reports of the previous leader, and so its orders, were heard.
+    /// Returns whether the reports of the previous leader, and so its orders, were received.
     bool knowsOrdersOf(const leader_record &previous);
     /// Returns when weights became a target, in milliseconds since 1970, by "model=version".
     std::map<std::string, std::uint64_t, std::less<>> targetWeightsTimes();
