--- a/libs/dispatch/include/dispatch/member_table.h
+++ b/libs/dispatch/include/dispatch/member_table.h
@@ -49,9 +49,9 @@
     std::string self;
     /// Availability zone of this instance.
     std::string zone;
-    /// A member that is not heard for longer is considered dead.
+    /// A member that does not report for longer is considered dead.
     report_timeout reportTimeout;
-    /// Another instance may take over from a leader that is not heard for this time plus
+    /// Another instance may take over from a leader that does not report for this time plus
     /// report_timeout::growth(): about three report periods. Short, because the successor checks
     /// with the store first.
     duration leaderTimeout = std::chrono::milliseconds(650);
@@ -90,12 +90,12 @@
     /// Records a report of @p name, which announces its next report after @p period. @p leaderEpoch
     /// is 0 unless @p name is the leader. Returns false if @p name isn't listed or the report is
     /// not newer than the last one.
-    bool noteReport(timestamp now, std::string_view name, std::uint64_t incarnation,
-                    std::uint64_t sequence, bool isLeaving, std::uint64_t leaderEpoch,
-                    duration period = {});
+    bool recordReport(timestamp now, std::string_view name, std::uint64_t incarnation,
+                      std::uint64_t sequence, bool isLeaving, std::uint64_t leaderEpoch,
+                      duration period = {});
     /// Records the scheduling delay of @p name, which may be this instance: the time that its
     /// threads wait for a processor.
-    void noteDelay(std::string_view name, duration delay);
+    void recordSchedulingDelay(std::string_view name, duration delay);
 
     /// Returns whether the other instance @p name is alive and not leaving.
     bool isAlive(timestamp now, std::string_view name) const;
@@ -128,8 +128,8 @@
     /// @p epoch.
     bool reportedLeadership(std::string_view name, std::uint64_t epoch) const;
 
-    /// Returns the addresses of the instances that a caller in @p zone is to use. @p isSelfUsable
-    /// tells whether this instance accepts callers.
+    /// Returns the addresses of the instances that a caller in @p zone should use. @p isSelfUsable
+    /// says whether this instance accepts callers.
     std::vector<endpoint> callerAddresses(timestamp now, std::string_view zone, bool isSelfUsable);
 
 private:
--- a/trefoilrouter/src/edge/edge_instance.cpp
+++ b/trefoilrouter/src/edge/edge_instance.cpp
@@ -257,7 +257,7 @@
     m_meanSchedulingDelay += (delay - m_meanSchedulingDelay) / delayAverageSpan;
     m_state.with([&](routing_state &routing) {
         routing.schedulingDelay = m_meanSchedulingDelay;
-        routing.members.noteDelay(m_settings.name, m_meanSchedulingDelay);
+        routing.members.recordSchedulingDelay(m_settings.name, m_meanSchedulingDelay);
     });
 }
 
@@ -266,7 +266,7 @@
     while (!stop.stop_requested()) {
         const timestamp now = boot_clock::now();
         m_connections.prune(now);
-        m_watch.dropLapsed(now);
+        m_watch.removeExpired(now);
         m_watch.fetchStaleCopies(now);
         probeServers(now);
         const timestamp sleepStart = boot_clock::now();
--- a/trefoilrouter/src/edge/edge_state.h
+++ b/trefoilrouter/src/edge/edge_state.h
@@ -17,7 +17,7 @@
 #include <dispatch/release_shares.h>
 #include <dispatch/serving_tables.h>
 #include <dispatch/team_limits.h>
-#include <platform/outage_clock.h>
+#include <platform/outage_detector.h>
 #include <routing/crash_tracker.h>
 #include <telemetry/metrics.h>
 
@@ -49,7 +49,7 @@
     /// When the platform's store last answered this instance.
     timestamp storeAnsweredAt;
     /// Store outages, from the answers that any instance got.
-    outage_clock storeOutage;
+    outage_detector storeOutage;
     /// Request outcomes per release under rollout, counted here and reported to the other
     /// instances.
     std::map<std::string, release_outcomes, std::less<>> localOutcomes;
@@ -100,7 +100,7 @@
     /// Closes idle connections: all callers have had time to switch to another instance.
     void closeIdleConnections() { m_isClosing = true; }
     /// Records that the store answered this instance.
-    void noteStoreAnswer(timestamp now)
+    void recordStoreAnswer(timestamp now)
     {
         with([now](routing_state &routing) {
             routing.storeAnsweredAt = now;
@@ -115,7 +115,7 @@
     bool isReady() const;
 
     /// Records that a caller's request was read.
-    void noteRequest() { m_lastRequestAt = boot_clock::now(); }
+    void recordRequest() { m_lastRequestAt = boot_clock::now(); }
     /// Returns when the last caller's request was read.
     timestamp lastRequestAt() const { return m_lastRequestAt; }
     /// Number of requests in progress.
--- a/trefoilrouter/src/edge/store_watch.cpp
+++ b/trefoilrouter/src/edge/store_watch.cpp
@@ -40,7 +40,7 @@
 constexpr duration retryPause = std::chrono::milliseconds(250);
 constexpr duration maxRetryPause = std::chrono::milliseconds(1000);
 constexpr int maxDoublings = 8;
-/// Servers whose entries lapsed in an outage register again within 2 s of its end.
+/// Servers whose entries expired in an outage register again within 2 s of its end.
 constexpr duration serverReregistrationTime = std::chrono::milliseconds(1900);
 /// Time that a copy may be behind before it is fetched from another instance; normally the store's
 /// watch delivers changes sooner.
@@ -112,13 +112,13 @@
             needsSnapshot = true;
             return;
         }
-        noteReachable(kind, false, answer.error().message);
+        recordReachability(kind, false, answer.error().message);
         std::this_thread::sleep_for(nextRetryPause(kind));
         return;
     }
-    noteReachable(kind, true, "");
+    recordReachability(kind, true, "");
     const timestamp now = boot_clock::now();
-    m_state.noteStoreAnswer(now);
+    m_state.recordStoreAnswer(now);
     const timestamp outageEnd =
         m_state.with([](routing_state &routing) { return routing.storeOutage.outageEnd(); });
     bool hasChanged = false;
@@ -127,11 +127,12 @@
         watched_kind &watched = m_kinds.find(kind)->second;
         watched.failures = 0;
         object_mirror &mirror = watched.mirror;
-        const timestamp lapseEnd = outageEnd + watched.reregistrationTime;
-        hasChanged = needsSnapshot
-            ? mirror.applySnapshot(now, answer->changed, answer->upToVersion, lapseEnd)
-            : mirror.applyChanges(now, answer->changed, answer->upToVersion, lapseEnd);
-        hasChanged = mirror.dropLapsed(now) || hasChanged;
+        const timestamp reregistrationDeadline = outageEnd + watched.reregistrationTime;
+        hasChanged = needsSnapshot ? mirror.applySnapshot(now, answer->changed, answer->upToVersion,
+                                                          reregistrationDeadline)
+                                   : mirror.applyChanges(now, answer->changed, answer->upToVersion,
+                                                         reregistrationDeadline);
+        hasChanged = mirror.removeExpired(now) || hasChanged;
     }
     const bool hadChanges = !needsSnapshot && !answer->changed.empty();
     needsSnapshot = false;
@@ -159,7 +160,8 @@
     });
 }
 
-void store_watch::noteReachable(const std::string &kind, bool reachable, const std::string &reason)
+void store_watch::recordReachability(const std::string &kind, bool reachable,
+                                     const std::string &reason)
 {
     bool hasChanged = false;
     bool isAnyReachable = false;
@@ -191,8 +193,8 @@
     return newest;
 }
 
-void store_watch::notePeerChanges(timestamp now, const endpoint &peer,
-                                  const std::map<std::string, std::uint64_t, std::less<>> &newest)
+void store_watch::recordPeerChanges(timestamp now, const endpoint &peer,
+                                    const std::map<std::string, std::uint64_t, std::less<>> &newest)
 {
     const std::lock_guard<std::mutex> lock(m_mutex);
     for (auto it = newest.begin(); it != newest.end(); ++it) {
@@ -207,13 +209,13 @@
     }
 }
 
-void store_watch::dropLapsed(timestamp now)
+void store_watch::removeExpired(timestamp now)
 {
     std::vector<std::string> changed;
     {
         const std::lock_guard<std::mutex> lock(m_mutex);
         for (auto it = m_kinds.begin(); it != m_kinds.end(); ++it) {
-            if (it->second.mirror.dropLapsed(now))
+            if (it->second.mirror.removeExpired(now))
                 changed.push_back(it->first);
         }
     }
